--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -7,7 +7,7 @@
 use lexopt::prelude::*;
 use tokio::signal::unix::{signal, SignalKind};
 
-use crate::launch::{self, Reading};
+use crate::config::{self, LoadKind};
 use crate::{operators, shell};
 
 const HELP: &str = "\
@@ -27,12 +27,14 @@
 that it could switch on is off.
 ";
 
-fn read(config: &Option<PathBuf>, operators: &Option<PathBuf>, reading: Reading) -> Result<launch::Launch> {
+fn read(
+    config: &Option<PathBuf>, operators: &Option<PathBuf>, load_kind: LoadKind,
+) -> Result<config::SidecarConfig> {
     let env = |name: &str| std::env::var(name).ok();
     let path = config.clone().or_else(|| env("BALANCER_CONFIG").map(PathBuf::from));
     let path = path.context("no configuration: neither --config nor BALANCER_CONFIG is given")?;
     let text = std::fs::read_to_string(&path).with_context(|| path.display().to_string())?;
-    let mut launch = launch::read(&text, env, reading)?;
+    let mut launch = config::read(&text, env, load_kind)?;
     if let Some(path) = operators.clone().or_else(|| env("STAGEPOND_OPERATORS").map(PathBuf::from)) {
         launch.operators = operators::read(&path, &launch.facts, &launch.names)?;
     }
@@ -66,25 +68,27 @@
                 Ok("text") | Err(_) => log.init(),
                 Ok(other) => bail!("STAGEPOND_LOG_FORM: {other:?} is neither text nor json"),
             }
-            let launch = read(&config, &operators, Reading::Start)?;
-            let reread = move || read(&config, &operators, Reading::Again).map(launch::Launch::changes);
+            let launch = read(&config, &operators, LoadKind::Initial)?;
+            let reread = move || {
+                read(&config, &operators, LoadKind::Reload).map(config::SidecarConfig::into_reloadable)
+            };
             let ended = runtime.block_on(shell::serve(launch, reread, hangups));
             runtime.shutdown_background();
             ended
         }
         Some("check") => {
-            let launch = read(&config, &operators, Reading::Start)?;
-            println!("{}: {} pods known, all well", launch.name, launch.known.rows.len());
+            let launch = read(&config, &operators, LoadKind::Initial)?;
+            println!("{}: {} pods known, all well", launch.name, launch.known_pods.rows.len());
             if let Some(leadership) = &launch.operators.leadership {
                 let b = &leadership.bounds;
                 let pool: Vec<u16> = b.pool.iter().map(|s| s.0).collect();
-                let (lease, disk) = (b.lease().0 / 10, leadership.state.is_some());
+                let (lease, disk) = (b.lease().0 / 10, leadership.state_file.is_some());
                 println!(
                     "leadership: {} voters of the seats {pool:?}, a lease of {lease} ms, with a disk: {disk}",
                     b.voters
                 );
             }
-            launch.missing.iter().for_each(|what| println!("not there on sockets: {what}"));
+            launch.unsupported.iter().for_each(|what| println!("not there on sockets: {what}"));
             Ok(())
         }
         Some("version") => {
--- a/crates/stagepond-sidecar/src/launch.rs
+++ b/crates/stagepond-sidecar/src/config.rs
@@ -11,18 +11,18 @@
 
 use crate::discovery;
 use crate::messages::{Changes, List, Places, Standing};
-use crate::operators::Operators;
+use crate::operators::OperatorsConfig;
 
 /// What the transport takes from the settings; the module's part is in `Facts`.
 #[derive(Clone, Copy, Debug)]
-pub struct Transport {
+pub struct TransportConfig {
     pub connect_timeout: Tenths,
-    pub idle_close: Tenths,
-    pub sockets: usize,
-    pub memory: usize,
+    pub idle_timeout: Tenths,
+    pub max_sockets: usize,
+    pub memory_bytes: usize,
 }
 
-pub struct Launch {
+pub struct SidecarConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub places: Places,
@@ -30,15 +30,15 @@
     pub peer_listen: Option<SocketAddr>,
     pub peers: Vec<SocketAddr>,
     pub peers_all: Option<SocketAddr>,
-    pub standing: Option<Standing>,
-    pub known: List,
+    pub rollout_status: Option<Standing>,
+    pub known_pods: List,
     pub facts: Facts,
     pub names: Names,
-    pub transport: Transport,
+    pub transport: TransportConfig,
     /// What the operators' own file switches on.
-    pub operators: Operators,
+    pub operators: OperatorsConfig,
     /// What the settings switch on and this program does not have.
-    pub missing: Vec<&'static str>,
+    pub unsupported: Vec<&'static str>,
 }
 
 #[derive(Deserialize)]
@@ -69,12 +69,12 @@
 #[derive(Deserialize)]
 struct Pipeline {
     address: String,
-    news: Option<StandingForm>,
+    news: Option<RawRolloutStatus>,
 }
 
 /// How the platform words a standing: in the configuration, its stream and its answers.
 #[derive(Deserialize)]
-pub struct StandingForm {
+pub struct RawRolloutStatus {
     build: u16,
     stage: u32,
     phase: String,
@@ -83,8 +83,8 @@
     age_ms: f64,
 }
 
-impl StandingForm {
-    pub fn read(self) -> Result<Standing> {
+impl RawRolloutStatus {
+    pub fn parse(self) -> Result<Standing> {
         let phase = match self.phase.as_str() {
             "Progressing" => Phase::Trial,
             "Aborting" => Phase::GoingBack,
@@ -103,9 +103,9 @@
     }
 }
 
-impl Launch {
+impl SidecarConfig {
     /// What of it may change while the program runs.
-    pub fn changes(self) -> Changes {
+    pub fn into_reloadable(self) -> Changes {
         Changes { places: self.places, leadership: self.operators.leadership }
     }
 }
@@ -115,14 +115,14 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reading {
-    Start,
+pub enum LoadKind {
+    Initial,
     /// The environment still names the discovery of the start, so here the file goes before it.
-    Again,
+    Reload,
 }
 
 /// The configuration, with what the environment says of it in front.
-pub fn read(text: &str, env: impl Fn(&str) -> Option<String>, reading: Reading) -> Result<Launch> {
+pub fn read(text: &str, env: impl Fn(&str) -> Option<String>, load_kind: LoadKind) -> Result<SidecarConfig> {
     let form: Form = serde_json::from_str(text).context("configuration")?;
     let given = |field: &str, variable: &str, value: Option<String>| {
         env(variable).or(value).ok_or_else(|| anyhow!("{field}: missing, and {variable} is not set"))
@@ -165,8 +165,8 @@
         ("/family_info/tally_every_ms", "tallies"),
         ("/report/how", "load reports that must be asked for"),
     ];
-    let discovery = match reading {
-        Reading::Again if form.discovery.is_some() => form.discovery.unwrap_or_default(),
+    let discovery = match load_kind {
+        LoadKind::Reload if form.discovery.is_some() => form.discovery.unwrap_or_default(),
         _ => given("discovery", "BALANCER_DISCOVERY", form.discovery)?,
     };
     let seed = u64::from_str_radix(&form.seed, 16);
@@ -174,7 +174,7 @@
         Some(pipeline) => (Some(address("pipeline.address", &pipeline.address)?), pipeline.news),
         None => (None, None),
     };
-    Ok(Launch {
+    Ok(SidecarConfig {
         name: given("name", "BALANCER_NAME", form.name)?,
         listen: address("listen", &given("listen", "BALANCER_LISTEN", form.listen)?)?,
         places: Places { discovery: address("discovery", &discovery)?, platform },
@@ -182,16 +182,16 @@
         peer_listen,
         peers,
         peers_all: optional("peers_all", &form.peers_all)?,
-        standing: news.map(StandingForm::read).transpose().context("pipeline.news")?,
-        known: List { whole: true, ..known },
-        transport: Transport {
+        rollout_status: news.map(RawRolloutStatus::parse).transpose().context("pipeline.news")?,
+        known_pods: List { whole: true, ..known },
+        transport: TransportConfig {
             connect_timeout: ms("/bounds/connect_timeout_ms")?,
-            idle_close: ms("/bounds/idle_close_ms")?,
-            sockets: form.limits.sockets,
-            memory: form.limits.memory_mb.unwrap_or(MEMORY_MB) << 20,
+            idle_timeout: ms("/bounds/idle_close_ms")?,
+            max_sockets: form.limits.sockets,
+            memory_bytes: form.limits.memory_mb.unwrap_or(MEMORY_MB) << 20,
         },
-        operators: Operators::default(),
-        missing: absent.iter().filter(|(path, _)| on(path)).map(|(_, what)| *what).collect(),
+        operators: OperatorsConfig::default(),
+        unsupported: absent.iter().filter(|(path, _)| on(path)).map(|(_, what)| *what).collect(),
         facts,
         names,
     })
--- a/crates/stagepond-sidecar/src/leading.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -15,12 +15,12 @@
 use stagepond_leadership::wire::Health;
 
 use crate::messages::{Effect, Standing};
-use crate::operators::{KeyRing, Leadership};
+use crate::operators::{KeyRing, LeadershipConfig};
 
 /// What happened, for the log: each kind has a name of its own there.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
-    Leads {
+pub enum LeadershipEvent {
+    BecameLeader {
         term: Term,
         until: Tenths,
     },
@@ -28,33 +28,33 @@
         term: Term,
         why: &'static str,
     },
-    InForce {
+    CommandCommitted {
         term: Term,
         number: Number,
         holder: Seat,
         decree: String,
     },
-    CaughtUp {
+    SnapshotInstalled {
         number: Number,
     },
-    Founded {
+    Bootstrapped {
         term: Term,
     },
-    Refused {
+    CommandRejected {
         decree: String,
         why: String,
     },
-    Member {
+    MemberHealthChanged {
         seat: Seat,
         health: Health,
     },
     /// Datagrams that were not taken, by reason, since the start.
-    Dropped {
+    DatagramsDropped {
         counts: String,
     },
 }
 
-pub struct Leading {
+pub struct LeadershipController {
     instance: Instance,
     widen_by_decree: bool,
     /// What the platform said last, and when.
@@ -75,41 +75,43 @@
 
 /// What the reducer is to do after a step, besides carrying effects out.
 #[derive(Default)]
-pub struct Came {
+pub struct StepOutcome {
     pub effects: Vec<Effect>,
     /// The voters or the lead changed: the module is to hear it.
-    pub lead: Option<(Vec<Peer>, bool)>,
+    pub leadership_change: Option<(Vec<Peer>, bool)>,
     /// The share that is allowed changed: the module is to hear of the platform's last word again.
-    pub again: bool,
+    pub share_changed: bool,
 }
 
 /// What is dropped is told at most this often: whoever sends it must not fill the log.
 const COMPLAIN_EVERY: Tenths = Tenths::ms(1000);
 const MILLION: f64 = 1_000_000.0;
 
-pub fn is_for_leadership(words: &[u8]) -> bool {
+pub fn is_leadership_datagram(words: &[u8]) -> bool {
     words.first() == Some(&FORM)
 }
 
-impl Leading {
-    pub fn new(now: Tenths, me: Peer, seed: u64, asked: &Leadership, promises: Option<Promises>) -> Leading {
+impl LeadershipController {
+    pub fn new(
+        now: Tenths, me: Peer, seed: u64, asked: &LeadershipConfig, promises: Option<Promises>,
+    ) -> LeadershipController {
         let instance = Instance::new(Start {
             now,
             seat: Seat(me.0 as u16),
             life: Life(now.0 as u64),
             seed,
             bounds: asked.bounds.clone(),
-            keys: asked.ring.keys(now),
+            keys: asked.key_ring.keys_at(now),
             promises,
             planted: Planted::default(),
         });
-        Leading {
+        LeadershipController {
             instance,
             widen_by_decree: asked.widen_by_decree,
             said: None,
             widened: BTreeMap::new(),
             frozen: BTreeMap::new(),
-            asked_frozen: asked.frozen.iter().copied().collect(),
+            asked_frozen: asked.frozen_builds.iter().copied().collect(),
             led: false,
             voters: Vec::new(),
             dropped: (0, now),
@@ -122,7 +124,7 @@
     }
 
     /// The build on trial and the share of it that the module was told last.
-    pub fn share(&self) -> Option<(Build, f64)> {
+    pub fn effective_share(&self) -> Option<(Build, f64)> {
         self.told
     }
 
@@ -130,7 +132,7 @@
         &self.instance
     }
 
-    pub fn datagram(&mut self, now: Tenths, words: &[u8]) -> Came {
+    pub fn on_datagram(&mut self, now: Tenths, words: &[u8]) -> StepOutcome {
         let mut came = self.step(now, In::Datagram(words));
         if now >= self.dropped.1 {
             let dropped = self.instance.status().dropped;
@@ -139,50 +141,55 @@
                 self.dropped = (all, now + COMPLAIN_EVERY);
                 let counts: Vec<String> =
                     dropped.iter().filter(|(_, n)| **n > 0).map(|(why, n)| format!("{why:?}={n}")).collect();
-                came.effects.push(Effect::Note(Note::Dropped { counts: counts.join(" ") }));
+                came.effects
+                    .push(Effect::Note(LeadershipEvent::DatagramsDropped { counts: counts.join(" ") }));
             }
         }
         came
     }
-    pub fn tick(&mut self, now: Tenths) -> Came {
+    pub fn tick(&mut self, now: Tenths) -> StepOutcome {
         if now >= self.next_due() {
             return self.step(now, In::Tick);
         }
-        Came::default()
+        StepOutcome::default()
     }
-    pub fn kept(&mut self, now: Tenths, number: u64) -> Came {
+    pub fn on_state_persisted(&mut self, now: Tenths, number: u64) -> StepOutcome {
         self.step(now, In::Kept(number))
     }
-    pub fn leave(&mut self, now: Tenths) -> Came {
+    pub fn leave(&mut self, now: Tenths) -> StepOutcome {
         self.step(now, In::Leave)
     }
 
     /// Others may have the new key already, or still the old one: both are taken for as long as the file says.
-    fn new_keys(&mut self, now: Tenths, ring: &KeyRing) -> Came {
-        let mut came = Came::default();
-        for (key, lasts) in &ring.also {
+    fn new_keys(&mut self, now: Tenths, ring: &KeyRing) -> StepOutcome {
+        let mut came = StepOutcome::default();
+        for (key, lasts) in &ring.accepted_keys {
             let accept = In::AcceptKey { key: key.clone(), until: now + *lasts };
             came.effects.extend(self.step(now, accept).effects);
         }
-        let lasts = ring.also.iter().map(|(_, lasts)| *lasts).max().unwrap_or(Tenths(0));
-        let new = In::NewKey { key: ring.sealing.clone(), old_until: now + lasts };
+        let lasts = ring.accepted_keys.iter().map(|(_, lasts)| *lasts).max().unwrap_or(Tenths(0));
+        let new = In::NewKey { key: ring.sealing_key.clone(), old_until: now + lasts };
         let last = self.step(now, new);
         came.effects.extend(last.effects);
-        Came { effects: came.effects, ..last }
+        StepOutcome { effects: came.effects, ..last }
     }
 
     /// The operators' file was read again.
-    pub fn reread(&mut self, now: Tenths, asked: &Leadership) -> Came {
-        self.asked_frozen = asked.frozen.iter().copied().collect();
-        let mut came = self.new_keys(now, &asked.ring);
+    pub fn reload_config(&mut self, now: Tenths, asked: &LeadershipConfig) -> StepOutcome {
+        self.asked_frozen = asked.frozen_builds.iter().copied().collect();
+        let mut came = self.new_keys(now, &asked.key_ring);
         let more = self.ask_to_freeze(now);
         came.effects.extend(more.effects);
-        Came { effects: came.effects, lead: more.lead.or(came.lead), again: came.again || more.again }
+        StepOutcome {
+            effects: came.effects,
+            leadership_change: more.leadership_change.or(came.leadership_change),
+            share_changed: came.share_changed || more.share_changed,
+        }
     }
 
     /// Who leads brings the decrees into line with its operators' file.
-    fn ask_to_freeze(&mut self, now: Tenths) -> Came {
-        let mut came = Came::default();
+    fn ask_to_freeze(&mut self, now: Tenths) -> StepOutcome {
+        let mut came = StepOutcome::default();
         if !self.led {
             return came;
         }
@@ -203,17 +210,19 @@
         for (Build(build), frozen) in changes {
             let more = self.step(now, In::Command(Decree::Freeze { build, frozen }));
             came.effects.extend(more.effects);
-            came.again |= more.again;
-            came.lead = more.lead.or(came.lead);
+            came.share_changed |= more.share_changed;
+            came.leadership_change = more.leadership_change.or(came.leadership_change);
         }
         came
     }
 
     /// The module wants to vote. It is decided for all first; who does not lead decides nothing.
-    pub fn wants(&mut self, now: Tenths, build: Build, stage: u32, verdict: Option<Verdict>) -> Came {
+    pub fn propose_vote(
+        &mut self, now: Tenths, build: Build, stage: u32, verdict: Option<Verdict>,
+    ) -> StepOutcome {
         let voice = match verdict {
             Some(Verdict::On) if self.frozen.contains_key(&build) => {
-                return Came::default();
+                return StepOutcome::default();
             }
             Some(Verdict::On) => Voice::On,
             Some(Verdict::Hold) => Voice::Hold,
@@ -224,17 +233,17 @@
     }
 
     /// The platform's word, with the share that may be used of it here.
-    pub fn standing(&mut self, now: Tenths, standing: Standing) -> (Standing, Came) {
+    pub fn on_rollout_status(&mut self, now: Tenths, standing: Standing) -> (Standing, StepOutcome) {
         let newer = self.said.is_none_or(|(old, _)| standing.build >= old.build);
         if newer {
             self.said = Some((standing, now));
         }
-        let came = if newer { self.ask_to_widen(now) } else { Came::default() };
+        let came = if newer { self.ask_to_widen(now) } else { StepOutcome::default() };
         (self.allowed(standing), came)
     }
 
     /// What the platform said last, as old as it is now, with the share that may be used of it.
-    pub fn said(&mut self, now: Tenths) -> Option<Standing> {
+    pub fn current_status(&mut self, now: Tenths) -> Option<Standing> {
         let (said, at) = self.said?;
         Some(self.allowed(Standing { since: said.since + (now - at), ..said }))
     }
@@ -256,20 +265,20 @@
         Standing { cap, ..standing }
     }
 
-    fn ask_to_widen(&mut self, now: Tenths) -> Came {
+    fn ask_to_widen(&mut self, now: Tenths) -> StepOutcome {
         let Some((said, _)) = self.said.filter(|_| self.widen_by_decree && self.led) else {
-            return Came::default();
+            return StepOutcome::default();
         };
         let share = (said.cap * MILLION).floor() as u32;
         let wider = said.stage > 0 && self.widened.get(&said.build).is_none_or(|has| *has < share);
         if said.phase != Phase::Trial || !wider || self.frozen.contains_key(&said.build) {
-            return Came::default();
+            return StepOutcome::default();
         }
         self.step(now, In::Command(Decree::Widen { build: said.build.0, stage: said.stage, share }))
     }
 
-    fn step(&mut self, now: Tenths, input: In) -> Came {
-        let mut came = Came::default();
+    fn step(&mut self, now: Tenths, input: In) -> StepOutcome {
+        let mut came = StepOutcome::default();
         let mut asks = false;
         for out in self.instance.step(now, input) {
             match out {
@@ -279,36 +288,44 @@
                 Out::Keep { number, promises } => came.effects.push(Effect::Keep { number, promises }),
                 Out::Leads(mandate) => {
                     asks = true;
-                    came.effects
-                        .push(Effect::Note(Note::Leads { term: mandate.term(), until: mandate.until() }));
+                    came.effects.push(Effect::Note(LeadershipEvent::BecameLeader {
+                        term: mandate.term(),
+                        until: mandate.until(),
+                    }));
                 }
                 Out::SteppedDown { term, why } => {
-                    came.effects.push(Effect::Note(Note::SteppedDown { term, why }));
+                    came.effects.push(Effect::Note(LeadershipEvent::SteppedDown { term, why }));
                 }
                 Out::InForce { entry, mandate } => {
                     let vote = self.vote(&entry.decree, mandate);
                     let (term, number, holder) = (entry.term, entry.number, entry.holder);
-                    came.again |= self.bears(&entry.decree);
+                    came.share_changed |= self.bears(&entry.decree);
                     // What was held back while it was frozen is asked for again.
                     asks |= matches!(entry.decree, Decree::Freeze { frozen: false, .. });
                     let decree = format!("{:?}", entry.decree);
-                    came.effects.push(Effect::Note(Note::InForce { term, number, holder, decree }));
+                    came.effects.push(Effect::Note(LeadershipEvent::CommandCommitted {
+                        term,
+                        number,
+                        holder,
+                        decree,
+                    }));
                     came.effects.extend(vote);
                 }
                 Out::CaughtUp { number } => {
-                    came.again = true;
-                    came.effects.push(Effect::Note(Note::CaughtUp { number }));
+                    came.share_changed = true;
+                    came.effects.push(Effect::Note(LeadershipEvent::SnapshotInstalled { number }));
                     self.look_up_all();
                 }
                 Out::Founded { era } => {
-                    came.effects.push(Effect::Note(Note::Founded { term: Term::founding(era) }));
+                    came.effects
+                        .push(Effect::Note(LeadershipEvent::Bootstrapped { term: Term::founding(era) }));
                 }
                 Out::Refused { decree, why } => {
                     let (decree, why) = (format!("{decree:?}"), why.to_string());
-                    came.effects.push(Effect::Note(Note::Refused { decree, why }));
+                    came.effects.push(Effect::Note(LeadershipEvent::CommandRejected { decree, why }));
                 }
                 Out::Member { seat, health } => {
-                    came.effects.push(Effect::Note(Note::Member { seat, health }));
+                    came.effects.push(Effect::Note(LeadershipEvent::MemberHealthChanged { seat, health }));
                 }
             }
         }
@@ -318,12 +335,12 @@
         voters.dedup();
         if (led, &voters) != (self.led, &self.voters) {
             (self.led, self.voters) = (led, voters.clone());
-            came.lead = Some((voters, led));
+            came.leadership_change = Some((voters, led));
         }
         if asks {
             for more in [self.ask_to_widen(now), self.ask_to_freeze(now)] {
                 came.effects.extend(more.effects);
-                came.again |= more.again;
+                came.share_changed |= more.share_changed;
             }
         }
         came
--- a/crates/stagepond-sidecar/src/lib.rs
+++ b/crates/stagepond-sidecar/src/lib.rs
@@ -2,13 +2,12 @@
 //! `stagepond` starts it; the laboratory drives the reducer alone.
 
 pub mod cli;
+pub mod config;
 pub mod discovery;
 pub mod front;
-pub mod keeping;
-pub mod launch;
-pub mod leading;
+pub mod leadership;
 #[cfg(test)]
-mod leading_stories;
+mod leadership_tests;
 pub mod lifecycle;
 pub mod messages;
 pub mod operators;
@@ -17,10 +16,11 @@
 pub mod pods;
 pub mod reducer;
 pub mod shell;
+pub mod state_files;
 #[cfg(test)]
 mod stories;
 pub mod stream;
-pub mod verifying;
+pub mod verification;
 #[cfg(test)]
-mod verifying_stories;
+mod verification_tests;
 pub mod wire;
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -118,7 +118,7 @@
 pub struct Changes {
     pub places: Places,
     /// The operators' word on leadership, where it is on: keys and frozen builds count anew.
-    pub leadership: Option<crate::operators::Leadership>,
+    pub leadership: Option<crate::operators::LeadershipConfig>,
 }
 
 #[derive(Clone, Debug)]
@@ -185,8 +185,8 @@
         number: u64,
         promises: Vec<u8>,
     },
-    Note(crate::leading::Note),
-    Told(crate::verifying::Told),
+    Note(crate::leadership::LeadershipEvent),
+    Told(crate::verification::VerificationEvent),
     /// What is trusted of the metadata, to be written whole.
     KeepTrusted(stagepond_tuf::client::Kept),
     /// Ask discovery for the whole list once more.
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -15,7 +15,7 @@
 use stagepond_tuf::client::Floors;
 use stagepond_tuf::form::Version;
 
-use crate::verifying::{Asked, Ended, Verifying};
+use crate::verification::{ExpiredMetadataPolicy, ResponseVerifier, VerificationConfig};
 
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -91,42 +91,42 @@
 /// The key that seals, and others that are taken, each for a time from the reading on.
 #[derive(Clone, Debug)]
 pub struct KeyRing {
-    pub sealing: Key,
-    pub also: Vec<(Key, Tenths)>,
+    pub sealing_key: Key,
+    pub accepted_keys: Vec<(Key, Tenths)>,
 }
 
 impl KeyRing {
-    pub fn keys(&self, now: Tenths) -> Keys {
-        let mut keys = Keys::new(self.sealing.clone());
-        self.also.iter().for_each(|(key, lasts)| keys.accept(key.clone(), now + *lasts));
+    pub fn keys_at(&self, now: Tenths) -> Keys {
+        let mut keys = Keys::new(self.sealing_key.clone());
+        self.accepted_keys.iter().for_each(|(key, lasts)| keys.accept(key.clone(), now + *lasts));
         keys
     }
 }
 
 /// Leadership as the operators want it, checked.
 #[derive(Clone, Debug)]
-pub struct Leadership {
+pub struct LeadershipConfig {
     pub bounds: Bounds,
-    pub ring: KeyRing,
+    pub key_ring: KeyRing,
     /// Where promises are kept; without it a process that restarts is another voter.
-    pub state: Option<PathBuf>,
+    pub state_file: Option<PathBuf>,
     /// The share of a trial grows only by a decree.
     pub widen_by_decree: bool,
     /// Builds whose trial must not grow; who leads decrees it.
-    pub frozen: Vec<Build>,
+    pub frozen_builds: Vec<Build>,
 }
 
 /// An operation whose answers are checked against signed metadata.
 #[derive(Clone, Debug)]
-pub struct Verified {
-    pub asked: Asked,
-    pub state: Option<PathBuf>,
+pub struct TufConfig {
+    pub verification: VerificationConfig,
+    pub state_file: Option<PathBuf>,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Operators {
-    pub leadership: Option<Leadership>,
-    pub verified: Option<Verified>,
+pub struct OperatorsConfig {
+    pub leadership: Option<LeadershipConfig>,
+    pub tuf: Option<TufConfig>,
 }
 
 /// A key is read by its owner alone: others could speak for every instance.
@@ -155,7 +155,7 @@
     Ok(Tenths::floor(ms))
 }
 
-fn leadership(form: LeadershipForm, facts: &Facts, folder: &Path) -> Result<Leadership> {
+fn leadership(form: LeadershipForm, facts: &Facts, folder: &Path) -> Result<LeadershipConfig> {
     if !facts.peers {
         bail!("leadership: the settings allow no datagrams among instances (bounds.peers)");
     }
@@ -194,12 +194,18 @@
         also.push((key(&format!("{field}.file"), form.number, &form.file, folder)?, lasts));
     }
     let state = form.state.map(|file| folder.join(file));
-    let ring = KeyRing { sealing, also };
+    let ring = KeyRing { sealing_key: sealing, accepted_keys: also };
     let frozen = form.frozen.into_iter().map(Build).collect();
-    Ok(Leadership { bounds, ring, state, widen_by_decree: form.widen_by_decree, frozen })
+    Ok(LeadershipConfig {
+        bounds,
+        key_ring: ring,
+        state_file: state,
+        widen_by_decree: form.widen_by_decree,
+        frozen_builds: frozen,
+    })
 }
 
-fn verified(form: TufForm, facts: &Facts, names: &Names, folder: &Path) -> Result<Verified> {
+fn verified(form: TufForm, facts: &Facts, names: &Names, folder: &Path) -> Result<TufConfig> {
     let op = names.operations.iter().position(|name| *name == form.operation);
     let op = op.with_context(|| format!("tuf.operation: {:?} is not in the settings", form.operation))?;
     if facts.operations[op].repeat != Repeat::Idempotent {
@@ -216,14 +222,14 @@
     let root_at = folder.join(&form.root);
     let root = std::fs::read(&root_at).with_context(|| format!("tuf.root: {}", root_at.display()))?;
     let state = form.state.map(|file| folder.join(file));
-    let kept = state.as_deref().map(crate::keeping::read_trusted).transpose()?.flatten();
+    let kept = state.as_deref().map(crate::state_files::read_trusted_metadata).transpose()?.flatten();
     let refresh_every = time("tuf.refresh_ms", form.refresh_ms.unwrap_or(60_000.0))?;
     if refresh_every < Tenths::ms(1000) {
         bail!("tuf.refresh_ms: {} is under a second", refresh_every.0 / 10);
     }
     let ended = match form.go_on_ended_ms {
-        Some(ms) => Ended::GoOn(time("tuf.go_on_ended_ms", ms)?),
-        None => Ended::Refuse,
+        Some(ms) => ExpiredMetadataPolicy::UseFor(time("tuf.go_on_ended_ms", ms)?),
+        None => ExpiredMetadataPolicy::Refuse,
     };
     let FloorsForm { root: r, timestamp, snapshot, targets } = form.floors;
     let floors = Floors {
@@ -233,14 +239,23 @@
         targets: Version(targets),
     };
     let (op, targets, metadata) = (Op(op), form.targets, form.metadata);
-    let asked = Asked { op, targets, metadata, root, kept, refresh_every, ended, floors };
+    let asked = VerificationConfig {
+        operation: op,
+        target_prefix: targets,
+        metadata_prefix: metadata,
+        root,
+        stored_state: kept,
+        refresh_interval: refresh_every,
+        expired_policy: ended,
+        floors,
+    };
     // Whatever is wrong with the root is told at the start, not with the first tablet.
-    Verifying::new(Tenths(0), asked.clone(), 0).map_err(|why| anyhow!("tuf.root: {why}"))?;
-    Ok(Verified { asked, state })
+    ResponseVerifier::new(Tenths(0), asked.clone(), 0).map_err(|why| anyhow!("tuf.root: {why}"))?;
+    Ok(TufConfig { verification: asked, state_file: state })
 }
 
 /// Reads the operators' file; paths in it are taken from its own folder.
-pub fn read(path: &Path, facts: &Facts, names: &Names) -> Result<Operators> {
+pub fn read(path: &Path, facts: &Facts, names: &Names) -> Result<OperatorsConfig> {
     let at = || path.display().to_string();
     let text = std::fs::read_to_string(path).with_context(at)?;
     let form: Form = {
@@ -255,7 +270,7 @@
     let leadership =
         form.leadership.map(|form| leadership(form, facts, folder)).transpose().with_context(at)?;
     let verified = form.tuf.map(|form| verified(form, facts, names, folder)).transpose().with_context(at)?;
-    Ok(Operators { leadership, verified })
+    Ok(OperatorsConfig { leadership, tuf: verified })
 }
 
 #[cfg(test)]
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::launch::StandingForm;
+use crate::config::RawRolloutStatus;
 use crate::messages::*;
 use crate::stream::{self, Complaints};
 
@@ -40,7 +40,7 @@
 fn event(kind: &str, data: &str, names: &Names) -> Result<Option<Input>> {
     Ok(match kind {
         "ROLLOUT" => Some(Input::Standing(
-            serde_urlencoded::from_str::<StandingForm>(data).context(kind.to_string())?.read()?,
+            serde_urlencoded::from_str::<RawRolloutStatus>(data).context(kind.to_string())?.parse()?,
         )),
         "DISPUTE" => {
             let told: Dispute = serde_urlencoded::from_str(data).context(kind.to_string())?;
@@ -211,7 +211,7 @@
 
 #[derive(Deserialize)]
 struct Entries {
-    item: StandingForm,
+    item: RawRolloutStatus,
 }
 
 #[derive(Deserialize)]
@@ -224,7 +224,7 @@
     let text = std::str::from_utf8(body).map_err(|_| Ending::TimedOut)?;
     if status == StatusCode::OK {
         let answer = quick_xml::de::from_str::<Answer>(text).map_err(|_| Ending::TimedOut)?;
-        return answer.entries.item.read().map_err(|_| Ending::TimedOut);
+        return answer.entries.item.parse().map_err(|_| Ending::TimedOut);
     }
     let fault = quick_xml::de::from_str::<Fault>(text).map_err(|_| Ending::TimedOut)?;
     Err(match fault.code.as_str() {
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -23,7 +23,7 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-use crate::launch::Transport;
+use crate::config::TransportConfig;
 use crate::messages::*;
 use crate::stream::Complaints;
 use crate::wire::{Trace, Wire, HEAD_MAX};
@@ -113,7 +113,7 @@
     /// One more reference than there are lanes, each of which holds one connection at most.
     lanes: Arc<()>,
     lanes_max: usize,
-    transport: Transport,
+    transport: TransportConfig,
     clock: Clock,
     inputs: mpsc::UnboundedSender<Input>,
     complaints: Arc<Complaints>,
@@ -121,7 +121,7 @@
 
 impl Pods {
     pub fn new(
-        lanes_max: usize, transport: Transport, clock: Clock, inputs: mpsc::UnboundedSender<Input>,
+        lanes_max: usize, transport: TransportConfig, clock: Clock, inputs: mpsc::UnboundedSender<Input>,
     ) -> Pods {
         let (free, out) = (Free::default(), HashMap::new());
         let (complaints, keeping) = (Arc::default(), Arc::default());
@@ -194,7 +194,7 @@
             .retry_canceled_requests(false)
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(duration(self.transport.idle_close.part(IDLE_SHARE)))
+            .pool_idle_timeout(duration(self.transport.idle_timeout.part(IDLE_SHARE)))
             .http1_max_buf_size(HEAD_MAX)
             .build(dial);
         Some(Lane { client, trace, free_since: Instant::now(), _counted: self.lanes.clone() })
--- a/crates/stagepond-sidecar/src/shell.rs
+++ b/crates/stagepond-sidecar/src/shell.rs
@@ -9,18 +9,18 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
 
+use crate::config::SidecarConfig;
 use crate::discovery;
 use crate::front::{self, Front, Operations};
-use crate::keeping;
-use crate::launch::Launch;
-use crate::leading::{Leading, Note};
+use crate::leadership::{LeadershipController, LeadershipEvent};
 use crate::lifecycle::State;
 use crate::messages::*;
 use crate::peers::Peers;
 use crate::platform::{self, Vote};
 use crate::pods::Pods;
 use crate::reducer::{Reducer, Switched};
-use crate::verifying::{Told, Verifying};
+use crate::state_files;
+use crate::verification::{ResponseVerifier, VerificationEvent};
 
 /// Descriptors for all but clients and pods: listener, datagrams, discovery, platform, votes, the runtime's
 /// own, and a few on their way out.
@@ -35,7 +35,9 @@
 /// A list passes three tasks from its socket to this loop: one turn of the runtime for each.
 const TURNS: usize = 3;
 
-pub async fn serve(launch: Launch, reread: impl Fn() -> Result<Changes>, mut hangups: Signal) -> Result<()> {
+pub async fn serve(
+    launch: SidecarConfig, reread: impl Fn() -> Result<Changes>, mut hangups: Signal,
+) -> Result<()> {
     let clock = Clock::start();
     let mut leave = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
@@ -43,9 +45,9 @@
     let (news, mut told) = mpsc::channel(NEWS_QUEUE);
     let (names, me) = (Arc::new(launch.names), launch.facts.me);
 
-    let shared = launch.transport.sockets - SPARE_SOCKETS.min(launch.transport.sockets / 2);
+    let shared = launch.transport.max_sockets - SPARE_SOCKETS.min(launch.transport.max_sockets / 2);
     let clients_max = (shared as f64 * FRONT_SHARE) as usize;
-    let held = (launch.transport.memory as f64 * FRONT_MEMORY) as usize / front::CONNECTION_BYTES;
+    let held = (launch.transport.memory_bytes as f64 * FRONT_MEMORY) as usize / front::CONNECTION_BYTES;
     let clients_max = clients_max.min(held);
     let repeats = launch.facts.operations.iter().map(|o| o.repeat);
     let operations = Operations(names.operations.iter().cloned().zip(repeats).collect());
@@ -59,7 +61,7 @@
         tokio::spawn(peers.listen(me, news.clone()));
     }
     let whole = Arc::new(Notify::new());
-    let index = launch.known.index;
+    let index = launch.known_pods.index;
     let (discovery, place) = watch::channel(launch.places.discovery);
     tokio::spawn(discovery::watch(place, index, names.clone(), whole.clone(), news.clone()));
     let (votes, wanted) = mpsc::unbounded_channel();
@@ -71,27 +73,34 @@
     let leading = match &launch.operators.leadership {
         Some(asked) => {
             let seat = Seat(me.0 as u16);
-            let promises =
-                asked.state.as_deref().map(|path| keeping::read(path, seat)).transpose()?.flatten();
-            if let Some(path) = &asked.state {
-                tokio::spawn(keeping::keep(path.clone(), kept, news.clone()));
+            let promises = asked
+                .state_file
+                .as_deref()
+                .map(|path| state_files::read_persistent_state(path, seat))
+                .transpose()?
+                .flatten();
+            if let Some(path) = &asked.state_file {
+                tokio::spawn(state_files::write_persistent_states(path.clone(), kept, news.clone()));
             }
-            Some(Leading::new(clock.now(), me, launch.seed, asked, promises))
+            Some(LeadershipController::new(clock.now(), me, launch.seed, asked, promises))
         }
         None => None,
     };
     let at = front.listen(launch.listen)?;
     let datagrams = peers.as_ref().and_then(Peers::address).map_or("none".into(), |at| at.to_string());
     tracing::info!(name = launch.name, clients = %at, %datagrams, clients_max, "listening");
-    launch.missing.iter().for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
+    launch
+        .unsupported
+        .iter()
+        .for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
 
     let (trust, trusted) = mpsc::unbounded_channel();
-    let verifying = match launch.operators.verified {
+    let verifying = match launch.operators.tuf {
         Some(asked) => {
-            if let Some(path) = asked.state {
-                tokio::spawn(keeping::keep_trusted(path, trusted));
+            if let Some(path) = asked.state_file {
+                tokio::spawn(state_files::write_trusted_metadata(path, trusted));
             }
-            Some(Verifying::new(clock.now(), asked.asked, launch.seed).context("tuf")?)
+            Some(ResponseVerifier::new(clock.now(), asked.verification, launch.seed).context("tuf")?)
         }
         None => None,
     };
@@ -101,8 +110,8 @@
         launch.facts,
         launch.seed,
         launch.places,
-        launch.known,
-        launch.standing,
+        launch.known_pods,
+        launch.rollout_status,
         Switched { leading, verifying },
     );
     let mut batch = Vec::new();
@@ -218,16 +227,16 @@
 }
 
 /// Decisions by name, so that a program can read them: `docs/leadership.md` lists them.
-fn noted(note: Note, now: Tenths) {
+fn noted(note: LeadershipEvent, now: Tenths) {
     let at = now.0;
     match note {
-        Note::Leads { term, until } => {
+        LeadershipEvent::BecameLeader { term, until } => {
             tracing::info!(event = "leads", at, term = term.0, until = until.0, "leads")
         }
-        Note::SteppedDown { term, why } => {
+        LeadershipEvent::SteppedDown { term, why } => {
             tracing::info!(event = "stepped_down", at, term = term.0, why, "leads no longer")
         }
-        Note::InForce { term, number, holder, decree } => {
+        LeadershipEvent::CommandCommitted { term, number, holder, decree } => {
             tracing::info!(
                 event = "in_force",
                 term = term.0,
@@ -237,25 +246,33 @@
                 "a decree"
             );
         }
-        Note::CaughtUp { number } => {
+        LeadershipEvent::SnapshotInstalled { number } => {
             tracing::info!(event = "caught_up", number = number.0, "has all that is in force")
         }
-        Note::Founded { term } => tracing::warn!(event = "founded", term = term.0, "an era begins"),
-        Note::Refused { decree, why } => tracing::debug!(event = "refused", decree, why, "not decided"),
-        Note::Dropped { counts } => {
+        LeadershipEvent::Bootstrapped { term } => {
+            tracing::warn!(event = "founded", term = term.0, "an era begins")
+        }
+        LeadershipEvent::CommandRejected { decree, why } => {
+            tracing::debug!(event = "refused", decree, why, "not decided")
+        }
+        LeadershipEvent::DatagramsDropped { counts } => {
             tracing::warn!(event = "datagrams_dropped", counts, "datagrams not taken")
         }
-        Note::Member { seat, health } => tracing::info!(event = "member", seat = seat.0, ?health, "member"),
+        LeadershipEvent::MemberHealthChanged { seat, health } => {
+            tracing::info!(event = "member", seat = seat.0, ?health, "member")
+        }
     }
 }
 
-fn verified(told: Told) {
+fn verified(told: VerificationEvent) {
     match told {
-        Told::Trusted { versions } => tracing::info!(event = "trusted", ?versions, "new metadata"),
-        Told::Refused { kind, why, again_in } => {
+        VerificationEvent::MetadataUpdated { versions } => {
+            tracing::info!(event = "trusted", ?versions, "new metadata")
+        }
+        VerificationEvent::MetadataRefused { kind, why, again_in } => {
             tracing::warn!(event = "metadata_refused", kind, again_in_ms = again_in.0 / 10, "{why}");
         }
-        Told::GoesOnEnded { since } => {
+        VerificationEvent::UsingExpiredMetadata { since } => {
             tracing::error!(
                 event = "goes_on_ended",
                 since,
--- a/crates/stagepond-sidecar/src/stories.rs
+++ b/crates/stagepond-sidecar/src/stories.rs
@@ -8,11 +8,11 @@
 use rstest::rstest;
 use stagepond::host::*;
 
-use crate::leading::Leading;
+use crate::leadership::LeadershipController;
 use crate::lifecycle::State;
 use crate::messages::*;
 use crate::reducer::{Reducer, Switched};
-use crate::verifying::Verifying;
+use crate::verification::ResponseVerifier;
 
 const IDEMPOTENT: Op = Op(0);
 const SIDE_EFFECTING: Op = Op(1);
@@ -81,12 +81,13 @@
         Story::led(facts, rows, None)
     }
 
-    pub(crate) fn led(facts: Facts, rows: Vec<Row>, leading: Option<Leading>) -> Story {
+    pub(crate) fn led(facts: Facts, rows: Vec<Row>, leading: Option<LeadershipController>) -> Story {
         Story::with(facts, rows, leading, None)
     }
 
     pub(crate) fn with(
-        facts: Facts, rows: Vec<Row>, leading: Option<Leading>, verifying: Option<Verifying>,
+        facts: Facts, rows: Vec<Row>, leading: Option<LeadershipController>,
+        verifying: Option<ResponseVerifier>,
     ) -> Story {
         let now = BEGIN;
         let standing =
