--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -1,13 +1,14 @@
-//! Leadership within the reducer: what goes to it, what comes of it. It owns the instance, the decrees that
-//! bear on trials and the last word of the platform; it must never do I/O, and casts no vote and widens no
-//! share but under a mandate or a decree in force.
+//! Leadership inside the reducer: passes inputs to the leadership protocol (`stagepond-leadership`) and turns
+//! its output into effects. Holds the protocol instance, the committed commands that affect trials and the
+//! last rollout status from the platform. Does no I/O. A vote is cast only under a leader lease, and with
+//! `widen_by_decree` a trial's share grows past its first stage only by a committed command.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use stagepond::host::*;
 use stagepond_leadership::council::Promises;
 use stagepond_leadership::ids::{Life, Number, Seat, Term};
-use stagepond_leadership::instance::{Effect as Out, Input as In, Instance, Start};
+use stagepond_leadership::instance::{Effect as InstanceEffect, Input as InstanceInput, Instance, Start};
 use stagepond_leadership::mandate::Mandate;
 use stagepond_leadership::planted::Planted;
 use stagepond_leadership::record::{Decree, Subject, Voice};
@@ -17,184 +18,199 @@
 use crate::messages::{Effect, Standing};
 use crate::operators::{KeyRing, LeadershipConfig};
 
-/// What happened, for the log: each kind has a name of its own there.
+/// A leadership event to be logged. Each variant has its own `event` value in the log, and its fields are the
+/// keys there; `decree` is a command of the replicated log in its `Debug` form.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipEvent {
-    BecameLeader {
-        term: Term,
-        until: Tenths,
-    },
-    SteppedDown {
-        term: Term,
-        why: &'static str,
-    },
-    CommandCommitted {
-        term: Term,
-        number: Number,
-        holder: Seat,
-        decree: String,
-    },
-    SnapshotInstalled {
-        number: Number,
-    },
-    Bootstrapped {
-        term: Term,
-    },
-    CommandRejected {
-        decree: String,
-        why: String,
-    },
-    MemberHealthChanged {
-        seat: Seat,
-        health: Health,
-    },
-    /// Datagrams that were not taken, by reason, since the start.
-    DatagramsDropped {
-        counts: String,
-    },
+    /// This sidecar became the leader and may act until `until` without renewing its lease.
+    BecameLeader { term: Term, until: Tenths },
+    /// This sidecar stopped leading `term`.
+    SteppedDown { term: Term, why: &'static str },
+    /// A command was committed.
+    CommandCommitted { term: Term, number: Number, holder: Seat, decree: String },
+    /// A snapshot from the leader, up to entry `number`, replaced the local log.
+    SnapshotInstalled { number: Number },
+    /// A new group of voters was bootstrapped because no quorum that remembers the old one was left.
+    Bootstrapped { term: Term },
+    /// A command proposed by this sidecar was rejected.
+    CommandRejected { decree: String, why: String },
+    /// The failure detector changed its view of a member.
+    MemberHealthChanged { seat: Seat, health: Health },
+    /// Datagrams dropped since the start: `reason=count` pairs separated by spaces.
+    DatagramsDropped { counts: String },
 }
 
+/// The reducer's view of leadership: the protocol instance and the limits its committed commands set on
+/// trials.
 pub struct LeadershipController {
     instance: Instance,
+    /// Whether a trial's share may grow past its first stage only by a committed command.
     widen_by_decree: bool,
-    /// What the platform said last, and when.
-    said: Option<(Standing, Tenths)>,
-    /// Shares that decrees allow, in millionths, by build; and builds whose trial must not grow, with the
-    /// share that they had.
-    widened: BTreeMap<Build, u32>,
-    frozen: BTreeMap<Build, f64>,
-    /// What the operators' file wants frozen.
-    asked_frozen: BTreeSet<Build>,
-    led: bool,
+    /// The last rollout status from the platform and when it arrived.
+    last_status: Option<(Standing, Tenths)>,
+    /// Share of each build allowed by committed commands, in millionths.
+    committed_shares: BTreeMap<Build, u32>,
+    /// Builds whose trial is frozen, with the share (0 to 1) in use when the freeze took effect.
+    frozen_shares: BTreeMap<Build, f64>,
+    /// Builds that the operators' file wants frozen.
+    requested_freezes: BTreeSet<Build>,
+    is_leader: bool,
     voters: Vec<Peer>,
-    /// How many datagrams were dropped when that was last told, and when it may be told again.
-    dropped: (u64, Tenths),
-    /// The share last told to the module.
-    told: Option<(Build, f64)>,
+    /// Number of dropped datagrams last reported.
+    reported_drops: u64,
+    /// Earliest time of the next report of dropped datagrams.
+    next_drop_report: Tenths,
+    /// The share last passed to the decision module.
+    applied_share: Option<(Build, f64)>,
 }
 
-/// What the reducer is to do after a step, besides carrying effects out.
+/// What the reducer has to do after a step.
 #[derive(Default)]
 pub struct StepOutcome {
+    /// Effects to carry out, in order.
     pub effects: Vec<Effect>,
-    /// The voters or the lead changed: the module is to hear it.
+    /// The voters and whether this sidecar leads, if either changed; the decision module must be told.
     pub leadership_change: Option<(Vec<Peer>, bool)>,
-    /// The share that is allowed changed: the module is to hear of the platform's last word again.
+    /// The allowed share may have changed: the decision module must be given the current rollout status
+    /// again.
     pub share_changed: bool,
 }
 
-/// What is dropped is told at most this often: whoever sends it must not fill the log.
-const COMPLAIN_EVERY: Tenths = Tenths::ms(1000);
-const MILLION: f64 = 1_000_000.0;
+/// Dropped datagrams are reported at most once per interval, so that their sender can't flood the log.
+const DROP_REPORT_INTERVAL: Tenths = Tenths::ms(1000);
+/// Scale of the shares in commands.
+const MILLIONTHS: f64 = 1_000_000.0;
 
-pub fn is_leadership_datagram(words: &[u8]) -> bool {
-    words.first() == Some(&FORM)
+/// Whether a datagram belongs to the leadership protocol, by its first byte. The decision module's messages
+/// never begin with that byte.
+pub fn is_leadership_datagram(bytes: &[u8]) -> bool {
+    bytes.first() == Some(&FORM)
 }
 
 impl LeadershipController {
+    /// Creates the controller for peer `own_peer`. `persisted` is the state stored by an earlier process at
+    /// this seat, if there is any. The start time serves as the incarnation (`Life`), which must be higher
+    /// than that of any earlier process at this seat.
     pub fn new(
-        now: Tenths, me: Peer, seed: u64, asked: &LeadershipConfig, promises: Option<Promises>,
+        now: Tenths, own_peer: Peer, seed: u64, config: &LeadershipConfig, persisted: Option<Promises>,
     ) -> LeadershipController {
         let instance = Instance::new(Start {
             now,
-            seat: Seat(me.0 as u16),
+            seat: Seat(own_peer.0 as u16),
             life: Life(now.0 as u64),
             seed,
-            bounds: asked.bounds.clone(),
-            keys: asked.key_ring.keys_at(now),
-            promises,
+            bounds: config.bounds.clone(),
+            keys: config.key_ring.keys_at(now),
+            promises: persisted,
             planted: Planted::default(),
         });
         LeadershipController {
             instance,
-            widen_by_decree: asked.widen_by_decree,
-            said: None,
-            widened: BTreeMap::new(),
-            frozen: BTreeMap::new(),
-            asked_frozen: asked.frozen_builds.iter().copied().collect(),
-            led: false,
+            widen_by_decree: config.widen_by_decree,
+            last_status: None,
+            committed_shares: BTreeMap::new(),
+            frozen_shares: BTreeMap::new(),
+            requested_freezes: config.frozen_builds.iter().copied().collect(),
+            is_leader: false,
             voters: Vec::new(),
-            dropped: (0, now),
-            told: None,
+            reported_drops: 0,
+            next_drop_report: now,
+            applied_share: None,
         }
     }
 
+    /// Time by which `tick` must be called.
     pub fn next_due(&self) -> Tenths {
         self.instance.next_due()
     }
 
-    /// The build on trial and the share of it that the module was told last.
+    /// The build on trial and its share (0 to 1) as last passed to the decision module.
     pub fn effective_share(&self) -> Option<(Build, f64)> {
-        self.told
+        self.applied_share
     }
 
+    /// The protocol instance, for inspection.
     pub fn instance(&self) -> &Instance {
         &self.instance
     }
 
-    pub fn on_datagram(&mut self, now: Tenths, words: &[u8]) -> StepOutcome {
-        let mut came = self.step(now, In::Datagram(words));
-        if now >= self.dropped.1 {
+    /// Handles a datagram of the leadership protocol. Reports dropped datagrams at most once per
+    /// `DROP_REPORT_INTERVAL`.
+    pub fn on_datagram(&mut self, now: Tenths, bytes: &[u8]) -> StepOutcome {
+        let mut outcome = self.step(now, InstanceInput::Datagram(bytes));
+        if now >= self.next_drop_report {
             let dropped = self.instance.status().dropped;
-            let all: u64 = dropped.values().sum();
-            if all > self.dropped.0 {
-                self.dropped = (all, now + COMPLAIN_EVERY);
-                let counts: Vec<String> =
-                    dropped.iter().filter(|(_, n)| **n > 0).map(|(why, n)| format!("{why:?}={n}")).collect();
-                came.effects
-                    .push(Effect::Note(LeadershipEvent::DatagramsDropped { counts: counts.join(" ") }));
+            let total: u64 = dropped.values().sum();
+            if total > self.reported_drops {
+                self.reported_drops = total;
+                self.next_drop_report = now + DROP_REPORT_INTERVAL;
+                let counts: Vec<String> = dropped
+                    .iter()
+                    .filter(|(_, count)| **count > 0)
+                    .map(|(reason, count)| format!("{reason:?}={count}"))
+                    .collect();
+                let event = LeadershipEvent::DatagramsDropped { counts: counts.join(" ") };
+                outcome.effects.push(Effect::Note(event));
             }
         }
-        came
+        outcome
     }
+
+    /// Runs the protocol's timers that are due.
     pub fn tick(&mut self, now: Tenths) -> StepOutcome {
         if now >= self.next_due() {
-            return self.step(now, In::Tick);
+            return self.step(now, InstanceInput::Tick);
         }
         StepOutcome::default()
     }
+
+    /// The state with this sequence number is on stable storage.
     pub fn on_state_persisted(&mut self, now: Tenths, number: u64) -> StepOutcome {
-        self.step(now, In::Kept(number))
+        self.step(now, InstanceInput::Kept(number))
     }
+
+    /// Announces a planned shutdown; a leader hands over its role.
     pub fn leave(&mut self, now: Tenths) -> StepOutcome {
-        self.step(now, In::Leave)
+        self.step(now, InstanceInput::Leave)
     }
 
-    /// Others may have the new key already, or still the old one: both are taken for as long as the file says.
-    fn new_keys(&mut self, now: Tenths, ring: &KeyRing) -> StepOutcome {
-        let mut came = StepOutcome::default();
-        for (key, lasts) in &ring.accepted_keys {
-            let accept = In::AcceptKey { key: key.clone(), until: now + *lasts };
-            came.effects.extend(self.step(now, accept).effects);
+    /// Installs the keys of a reloaded file. During a key change some instances have the new key already and
+    /// others still the old one, so both are accepted for the time that the file gives.
+    fn install_keys(&mut self, now: Tenths, key_ring: &KeyRing) -> StepOutcome {
+        let mut effects = Vec::new();
+        for (key, accepted_for) in &key_ring.accepted_keys {
+            let input = InstanceInput::AcceptKey { key: key.clone(), until: now + *accepted_for };
+            effects.extend(self.step(now, input).effects);
         }
-        let lasts = ring.accepted_keys.iter().map(|(_, lasts)| *lasts).max().unwrap_or(Tenths(0));
-        let new = In::NewKey { key: ring.sealing_key.clone(), old_until: now + lasts };
-        let last = self.step(now, new);
-        came.effects.extend(last.effects);
-        StepOutcome { effects: came.effects, ..last }
+        let longest = key_ring.accepted_keys.iter().map(|(_, accepted_for)| *accepted_for).max();
+        let old_until = now + longest.unwrap_or(Tenths(0));
+        let input = InstanceInput::NewKey { key: key_ring.sealing_key.clone(), old_until };
+        let last = self.step(now, input);
+        effects.extend(last.effects);
+        StepOutcome { effects, ..last }
     }
 
-    /// The operators' file was read again.
-    pub fn reload_config(&mut self, now: Tenths, asked: &LeadershipConfig) -> StepOutcome {
-        self.asked_frozen = asked.frozen_builds.iter().copied().collect();
-        let mut came = self.new_keys(now, &asked.key_ring);
-        let more = self.ask_to_freeze(now);
-        came.effects.extend(more.effects);
+    /// Applies the keys and frozen builds of a reloaded operators' file.
+    pub fn reload_config(&mut self, now: Tenths, config: &LeadershipConfig) -> StepOutcome {
+        self.requested_freezes = config.frozen_builds.iter().copied().collect();
+        let mut outcome = self.install_keys(now, &config.key_ring);
+        let freezes = self.propose_freezes(now);
+        outcome.effects.extend(freezes.effects);
         StepOutcome {
-            effects: came.effects,
-            leadership_change: more.leadership_change.or(came.leadership_change),
-            share_changed: came.share_changed || more.share_changed,
+            effects: outcome.effects,
+            leadership_change: freezes.leadership_change.or(outcome.leadership_change),
+            share_changed: outcome.share_changed || freezes.share_changed,
         }
     }
 
-    /// Who leads brings the decrees into line with its operators' file.
-    fn ask_to_freeze(&mut self, now: Tenths) -> StepOutcome {
-        let mut came = StepOutcome::default();
-        if !self.led {
-            return came;
+    /// On the leader, proposes the commands that bring the frozen builds in line with its operators' file.
+    fn propose_freezes(&mut self, now: Tenths) -> StepOutcome {
+        let mut outcome = StepOutcome::default();
+        if !self.is_leader {
+            return outcome;
         }
-        let standing = &self.instance.council().record().in_force().subjects;
-        let frozen: BTreeSet<Build> = standing
+        let committed = &self.instance.council().record().in_force().subjects;
+        let frozen: BTreeSet<Build> = committed
             .values()
             .filter_map(|entry| match entry.decree {
                 Decree::Freeze { build, frozen: true } => Some(Build(build)),
@@ -202,26 +218,27 @@
             })
             .collect();
         let changes: Vec<(Build, bool)> = self
-            .asked_frozen
+            .requested_freezes
             .difference(&frozen)
             .map(|build| (*build, true))
-            .chain(frozen.difference(&self.asked_frozen).map(|build| (*build, false)))
+            .chain(frozen.difference(&self.requested_freezes).map(|build| (*build, false)))
             .collect();
         for (Build(build), frozen) in changes {
-            let more = self.step(now, In::Command(Decree::Freeze { build, frozen }));
-            came.effects.extend(more.effects);
-            came.share_changed |= more.share_changed;
-            came.leadership_change = more.leadership_change.or(came.leadership_change);
+            let step = self.step(now, InstanceInput::Command(Decree::Freeze { build, frozen }));
+            outcome.effects.extend(step.effects);
+            outcome.share_changed |= step.share_changed;
+            outcome.leadership_change = step.leadership_change.or(outcome.leadership_change);
         }
-        came
+        outcome
     }
 
-    /// The module wants to vote. It is decided for all first; who does not lead decides nothing.
+    /// Proposes the decision module's vote as a command; the vote is cast once that is committed. Only the
+    /// leader's proposals are accepted. An approval (`Verdict::On`) of a frozen build is not proposed.
     pub fn propose_vote(
         &mut self, now: Tenths, build: Build, stage: u32, verdict: Option<Verdict>,
     ) -> StepOutcome {
         let voice = match verdict {
-            Some(Verdict::On) if self.frozen.contains_key(&build) => {
+            Some(Verdict::On) if self.frozen_shares.contains_key(&build) => {
                 return StepOutcome::default();
             }
             Some(Verdict::On) => Voice::On,
@@ -229,149 +246,153 @@
             Some(Verdict::Back) => Voice::Back,
             None => Voice::Withdrawn,
         };
-        self.step(now, In::Command(Decree::Vote { build: build.0, stage, voice }))
+        self.step(now, InstanceInput::Command(Decree::Vote { build: build.0, stage, voice }))
     }
 
-    /// The platform's word, with the share that may be used of it here.
-    pub fn on_rollout_status(&mut self, now: Tenths, standing: Standing) -> (Standing, StepOutcome) {
-        let newer = self.said.is_none_or(|(old, _)| standing.build >= old.build);
-        if newer {
-            self.said = Some((standing, now));
+    /// Takes a rollout status from the platform and returns it with its cap limited to the share that may be
+    /// used here. A status of an older build than the last one is limited but not remembered.
+    pub fn on_rollout_status(&mut self, now: Tenths, status: Standing) -> (Standing, StepOutcome) {
+        let is_current = self.last_status.is_none_or(|(last, _)| status.build >= last.build);
+        if is_current {
+            self.last_status = Some((status, now));
         }
-        let came = if newer { self.ask_to_widen(now) } else { StepOutcome::default() };
-        (self.allowed(standing), came)
+        let outcome = if is_current { self.propose_widening(now) } else { StepOutcome::default() };
+        (self.limit_share(status), outcome)
     }
 
-    /// What the platform said last, as old as it is now, with the share that may be used of it.
+    /// The last rollout status with its age as of `now` and its cap limited to the share that may be used.
     pub fn current_status(&mut self, now: Tenths) -> Option<Standing> {
-        let (said, at) = self.said?;
-        Some(self.allowed(Standing { since: said.since + (now - at), ..said }))
+        let (status, received_at) = self.last_status?;
+        let since = status.since + (now - received_at);
+        Some(self.limit_share(Standing { since, ..status }))
     }
 
-    /// A lower cap binds at once and a release is the platform's own; only growth waits for a decree.
-    fn allowed(&mut self, standing: Standing) -> Standing {
-        let mut cap = standing.cap;
-        if standing.phase == Phase::Trial {
-            if self.widen_by_decree && standing.stage > 0 {
-                let decreed =
-                    self.widened.get(&standing.build).map_or(0.0, |share| f64::from(*share) / MILLION);
-                // Until one stands, what was allowed before goes on.
-                let before = self.told.filter(|(b, _)| *b == standing.build).map_or(0.0, |(_, cap)| cap);
-                cap = cap.min(decreed.max(before));
+    /// Limits the cap of a trial to what committed commands allow. A lower cap from the platform applies at
+    /// once, and a release is the platform's decision alone; only growth waits for a command.
+    fn limit_share(&mut self, status: Standing) -> Standing {
+        let mut cap = status.cap;
+        if status.phase == Phase::Trial {
+            if self.widen_by_decree && status.stage > 0 {
+                let committed = self
+                    .committed_shares
+                    .get(&status.build)
+                    .map_or(0.0, |share| f64::from(*share) / MILLIONTHS);
+                // The share in use stays allowed until a committed command raises it.
+                let in_use = self.share_in_use(status.build);
+                cap = cap.min(committed.max(in_use));
             }
-            cap = self.frozen.get(&standing.build).map_or(cap, |frozen| cap.min(*frozen));
+            cap = self.frozen_shares.get(&status.build).map_or(cap, |frozen| cap.min(*frozen));
         }
-        self.told = Some((standing.build, cap));
-        Standing { cap, ..standing }
+        self.applied_share = Some((status.build, cap));
+        Standing { cap, ..status }
+    }
+
+    fn share_in_use(&self, build: Build) -> f64 {
+        self.applied_share.filter(|(applied, _)| *applied == build).map_or(0.0, |(_, cap)| cap)
     }
 
-    fn ask_to_widen(&mut self, now: Tenths) -> StepOutcome {
-        let Some((said, _)) = self.said.filter(|_| self.widen_by_decree && self.led) else {
+    /// On the leader, proposes a wider share if the platform's cap has grown past the committed share.
+    fn propose_widening(&mut self, now: Tenths) -> StepOutcome {
+        let Some((status, _)) = self.last_status.filter(|_| self.widen_by_decree && self.is_leader) else {
             return StepOutcome::default();
         };
-        let share = (said.cap * MILLION).floor() as u32;
-        let wider = said.stage > 0 && self.widened.get(&said.build).is_none_or(|has| *has < share);
-        if said.phase != Phase::Trial || !wider || self.frozen.contains_key(&said.build) {
+        let share = (status.cap * MILLIONTHS).floor() as u32;
+        let is_wider = status.stage > 0
+            && self.committed_shares.get(&status.build).is_none_or(|committed| *committed < share);
+        if status.phase != Phase::Trial || !is_wider || self.frozen_shares.contains_key(&status.build) {
             return StepOutcome::default();
         }
-        self.step(now, In::Command(Decree::Widen { build: said.build.0, stage: said.stage, share }))
+        let command = Decree::Widen { build: status.build.0, stage: status.stage, share };
+        self.step(now, InstanceInput::Command(command))
     }
 
-    fn step(&mut self, now: Tenths, input: In) -> StepOutcome {
-        let mut came = StepOutcome::default();
-        let mut asks = false;
-        for out in self.instance.step(now, input) {
-            match out {
-                Out::Send { to, bytes } => {
-                    came.effects.push(Effect::Tell { to: Some(Peer(usize::from(to.0))), words: bytes });
+    /// Runs one step of the protocol and translates its effects for the reducer.
+    fn step(&mut self, now: Tenths, input: InstanceInput) -> StepOutcome {
+        let mut outcome = StepOutcome::default();
+        let mut propose_again = false;
+        for effect in self.instance.step(now, input) {
+            match effect {
+                InstanceEffect::Send { to, bytes } => {
+                    let to = Some(Peer(usize::from(to.0)));
+                    outcome.effects.push(Effect::Tell { to, words: bytes });
+                }
+                InstanceEffect::Keep { number, promises } => {
+                    outcome.effects.push(Effect::Keep { number, promises });
                 }
-                Out::Keep { number, promises } => came.effects.push(Effect::Keep { number, promises }),
-                Out::Leads(mandate) => {
-                    asks = true;
-                    came.effects.push(Effect::Note(LeadershipEvent::BecameLeader {
-                        term: mandate.term(),
-                        until: mandate.until(),
-                    }));
+                InstanceEffect::Leads(mandate) => {
+                    propose_again = true;
+                    let (term, until) = (mandate.term(), mandate.until());
+                    outcome.effects.push(Effect::Note(LeadershipEvent::BecameLeader { term, until }));
                 }
-                Out::SteppedDown { term, why } => {
-                    came.effects.push(Effect::Note(LeadershipEvent::SteppedDown { term, why }));
+                InstanceEffect::SteppedDown { term, why } => {
+                    outcome.effects.push(Effect::Note(LeadershipEvent::SteppedDown { term, why }));
                 }
-                Out::InForce { entry, mandate } => {
-                    let vote = self.vote(&entry.decree, mandate);
+                InstanceEffect::InForce { entry, mandate } => {
+                    let vote = vote_effect(&entry.decree, mandate);
                     let (term, number, holder) = (entry.term, entry.number, entry.holder);
-                    came.share_changed |= self.bears(&entry.decree);
-                    // What was held back while it was frozen is asked for again.
-                    asks |= matches!(entry.decree, Decree::Freeze { frozen: false, .. });
+                    outcome.share_changed |= self.apply_command(&entry.decree);
+                    // Widening that the freeze held back is proposed again.
+                    propose_again |= matches!(entry.decree, Decree::Freeze { frozen: false, .. });
                     let decree = format!("{:?}", entry.decree);
-                    came.effects.push(Effect::Note(LeadershipEvent::CommandCommitted {
-                        term,
-                        number,
-                        holder,
-                        decree,
-                    }));
-                    came.effects.extend(vote);
+                    let event = LeadershipEvent::CommandCommitted { term, number, holder, decree };
+                    outcome.effects.push(Effect::Note(event));
+                    outcome.effects.extend(vote);
                 }
-                Out::CaughtUp { number } => {
-                    came.share_changed = true;
-                    came.effects.push(Effect::Note(LeadershipEvent::SnapshotInstalled { number }));
-                    self.look_up_all();
+                InstanceEffect::CaughtUp { number } => {
+                    outcome.share_changed = true;
+                    outcome.effects.push(Effect::Note(LeadershipEvent::SnapshotInstalled { number }));
+                    self.apply_committed_shares();
                 }
-                Out::Founded { era } => {
-                    came.effects
-                        .push(Effect::Note(LeadershipEvent::Bootstrapped { term: Term::founding(era) }));
+                InstanceEffect::Founded { era } => {
+                    let term = Term::founding(era);
+                    outcome.effects.push(Effect::Note(LeadershipEvent::Bootstrapped { term }));
                 }
-                Out::Refused { decree, why } => {
+                InstanceEffect::Refused { decree, why } => {
                     let (decree, why) = (format!("{decree:?}"), why.to_string());
-                    came.effects.push(Effect::Note(LeadershipEvent::CommandRejected { decree, why }));
+                    outcome.effects.push(Effect::Note(LeadershipEvent::CommandRejected { decree, why }));
                 }
-                Out::Member { seat, health } => {
-                    came.effects.push(Effect::Note(LeadershipEvent::MemberHealthChanged { seat, health }));
+                InstanceEffect::Member { seat, health } => {
+                    outcome.effects.push(Effect::Note(LeadershipEvent::MemberHealthChanged { seat, health }));
                 }
             }
         }
-        let led = self.instance.mandate(now).is_some();
-        let voters = self.instance.council().voters();
-        let mut voters: Vec<Peer> = voters.all().map(|v| Peer(usize::from(v.seat.0))).collect();
-        voters.dedup();
-        if (led, &voters) != (self.led, &self.voters) {
-            (self.led, self.voters) = (led, voters.clone());
-            came.leadership_change = Some((voters, led));
-        }
-        if asks {
-            for more in [self.ask_to_widen(now), self.ask_to_freeze(now)] {
-                came.effects.extend(more.effects);
-                came.share_changed |= more.share_changed;
+        outcome.leadership_change = self.update_leadership(now);
+        if propose_again {
+            for proposal in [self.propose_widening(now), self.propose_freezes(now)] {
+                outcome.effects.extend(proposal.effects);
+                outcome.share_changed |= proposal.share_changed;
             }
         }
-        came
+        outcome
     }
 
-    /// Only who leads gets leave with a decree, and only then is a vote cast.
-    fn vote(&self, decree: &Decree, mandate: Option<Mandate>) -> Option<Effect> {
-        let (&Decree::Vote { build, stage, voice }, Some(mandate)) = (decree, mandate) else { return None };
-        let verdict = match voice {
-            Voice::On => Some(Verdict::On),
-            Voice::Hold => Some(Verdict::Hold),
-            Voice::Back => Some(Verdict::Back),
-            Voice::Withdrawn => None,
-        };
-        Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(mandate) })
+    /// The voters and whether this sidecar leads, if either has changed since the last call.
+    fn update_leadership(&mut self, now: Tenths) -> Option<(Vec<Peer>, bool)> {
+        let is_leader = self.instance.mandate(now).is_some();
+        let voters = self.instance.council().voters();
+        let mut voters: Vec<Peer> = voters.all().map(|voter| Peer(usize::from(voter.seat.0))).collect();
+        voters.dedup();
+        if (is_leader, &voters) == (self.is_leader, &self.voters) {
+            return None;
+        }
+        (self.is_leader, self.voters) = (is_leader, voters.clone());
+        Some((voters, is_leader))
     }
 
-    /// Whether a decree changes what share of a trial may be used.
-    fn bears(&mut self, decree: &Decree) -> bool {
-        match *decree {
+    /// Updates the share limits from a committed command. Returns whether it affects the share of a trial.
+    fn apply_command(&mut self, command: &Decree) -> bool {
+        match *command {
             Decree::Widen { build, share, .. } => {
-                self.widened.insert(Build(build), share);
+                self.committed_shares.insert(Build(build), share);
                 true
             }
             Decree::Freeze { build, frozen } => {
                 let build = Build(build);
                 if frozen {
-                    let cap = self.told.filter(|(b, _)| *b == build).map_or(0.0, |(_, cap)| cap);
-                    self.frozen.entry(build).or_insert(cap);
+                    let share = self.share_in_use(build);
+                    self.frozen_shares.entry(build).or_insert(share);
                 } else {
-                    self.frozen.remove(&build);
+                    self.frozen_shares.remove(&build);
                 }
                 true
             }
@@ -379,11 +400,26 @@
         }
     }
 
-    fn look_up_all(&mut self) {
+    /// Applies every committed command that limits a share, after the log was replaced as a whole.
+    fn apply_committed_shares(&mut self) {
         let subjects = self.instance.council().record().in_force().subjects.clone();
-        let standing = |subject: &Subject| matches!(subject, Subject::Widen { .. } | Subject::Freeze { .. });
-        for (_, entry) in subjects.iter().filter(|(subject, _)| standing(subject)) {
-            self.bears(&entry.decree);
+        let limits_share =
+            |subject: &Subject| matches!(subject, Subject::Widen { .. } | Subject::Freeze { .. });
+        for (_, entry) in subjects.iter().filter(|(subject, _)| limits_share(subject)) {
+            self.apply_command(&entry.decree);
         }
     }
 }
+
+/// The effect that casts a committed vote. Only the leader gets a lease with a committed command, so only the
+/// leader casts the vote.
+fn vote_effect(command: &Decree, mandate: Option<Mandate>) -> Option<Effect> {
+    let (&Decree::Vote { build, stage, voice }, Some(mandate)) = (command, mandate) else { return None };
+    let verdict = match voice {
+        Voice::On => Some(Verdict::On),
+        Voice::Hold => Some(Verdict::Hold),
+        Voice::Back => Some(Verdict::Back),
+        Voice::Withdrawn => None,
+    };
+    Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(mandate) })
+}
