--- a/crates/stagepond-sidecar/src/config.rs
+++ b/crates/stagepond-sidecar/src/config.rs
@@ -1,5 +1,6 @@
-//! What the program is started with: environment and configuration JSON into typed values, each fault named
-//! by its field, at the start and once more when it may have been replaced. It must never listen, connect or guess at a value that is missing.
+//! Startup configuration: reads the environment and the configuration JSON into typed values, at startup and
+//! again on each reload. Each error names the field at fault. Opens no sockets and assumes no value for a
+//! required field that is missing.
 
 use std::net::SocketAddr;
 
@@ -13,66 +14,101 @@
 use crate::messages::{Changes, List, Places, Standing};
 use crate::operators::OperatorsConfig;
 
-/// What the transport takes from the settings; the module's part is in `Facts`.
+/// Assumed where the configuration has no `limits.memory_mb`: the smallest memory limit of a deployment.
+const DEFAULT_MEMORY_MB: usize = 32;
+/// Fewer descriptors would leave no room for clients and pods.
+const MIN_SOCKETS: usize = 64;
+/// Upper bound (exclusive) of the age of a rollout status in ms.
+const MAX_STATUS_AGE_MS: f64 = 1e12;
+
+/// Settings whose features this program does not support: the path, and the feature's name in log lines.
+const UNSUPPORTED_SETTINGS: [(&str, &str); 3] = [
+    ("/bounds/probing", "probes"),
+    ("/family_info/tally_every_ms", "tallies"),
+    ("/report/how", "load reports that must be asked for"),
+];
+
+/// Limits of connections to pods and clients. The settings of the decision module are in `Facts`.
 #[derive(Clone, Copy, Debug)]
 pub struct TransportConfig {
+    /// Time limit for opening a connection to a pod.
     pub connect_timeout: Tenths,
+    /// Time after which a pod closes an idle connection.
     pub idle_timeout: Tenths,
+    /// Number of file descriptors the process may open.
     pub max_sockets: usize,
+    /// Memory limit of the process in bytes.
     pub memory_bytes: usize,
 }
 
+/// The checked configuration of a sidecar.
 pub struct SidecarConfig {
+    /// Name of this instance, used in the log.
     pub name: String,
+    /// Address on which clients connect.
     pub listen: SocketAddr,
+    /// Addresses of discovery and of the platform.
     pub places: Places,
+    /// Seed of the random generators.
     pub seed: u64,
+    /// Address on which datagrams from peers are received.
     pub peer_listen: Option<SocketAddr>,
+    /// Datagram addresses of all sidecars, by index.
     pub peers: Vec<SocketAddr>,
+    /// Address that reaches all peers with one datagram.
     pub peers_all: Option<SocketAddr>,
+    /// Rollout status at startup.
     pub rollout_status: Option<Standing>,
+    /// Pods known at startup.
     pub known_pods: List,
+    /// Settings of the decision module.
     pub facts: Facts,
+    /// Names of operations, zones and machine kinds.
     pub names: Names,
+    /// Limits of connections.
     pub transport: TransportConfig,
-    /// What the operators' own file switches on.
+    /// Contents of the operators' file; empty if there is none.
     pub operators: OperatorsConfig,
-    /// What the settings switch on and this program does not have.
+    /// Features that the settings switch on and that this program does not support.
     pub unsupported: Vec<&'static str>,
 }
 
+impl SidecarConfig {
+    /// The part of the configuration that can change without a restart.
+    pub fn into_reloadable(self) -> Changes {
+        Changes { places: self.places, leadership: self.operators.leadership }
+    }
+}
+
 #[derive(Deserialize)]
-struct Form {
+struct ConfigFile {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
     seed: String,
-    limits: Limits,
+    limits: LimitsSection,
     peer_listen: Option<String>,
     #[serde(default)]
     peers: Vec<String>,
     peers_all: Option<String>,
-    pipeline: Option<Pipeline>,
+    pipeline: Option<PipelineSection>,
     known: Option<Value>,
     settings: Value,
 }
 
-/// The least that a deployment gives, where the configuration does not say.
-const MEMORY_MB: usize = 32;
-
 #[derive(Deserialize)]
-struct Limits {
+struct LimitsSection {
     sockets: usize,
     memory_mb: Option<usize>,
 }
 
 #[derive(Deserialize)]
-struct Pipeline {
+struct PipelineSection {
     address: String,
     news: Option<RawRolloutStatus>,
 }
 
-/// How the platform words a standing: in the configuration, its stream and its answers.
+/// A rollout status as the platform encodes it in the configuration, in its event stream and in its answers.
 #[derive(Deserialize)]
 pub struct RawRolloutStatus {
     build: u16,
@@ -84,114 +120,131 @@
 }
 
 impl RawRolloutStatus {
+    /// Checks the fields and converts them.
+    ///
+    /// # Errors
+    ///
+    /// Names the field whose value is unknown or out of range.
     pub fn parse(self) -> Result<Standing> {
         let phase = match self.phase.as_str() {
             "Progressing" => Phase::Trial,
             "Aborting" => Phase::GoingBack,
             "Healthy" => Phase::Released,
             "Aborted" => Phase::Withdrawn,
-            other => bail!("phase: {other:?} is unknown"),
+            other => bail!("phase: {other:?}, expected Progressing, Aborting, Healthy or Aborted"),
         };
         if !(0.0..=1.0).contains(&self.cap) {
             bail!("cap: {} is not from 0 to 1", self.cap);
         }
-        if !(0.0..1e12).contains(&self.age_ms) {
-            bail!("age_ms: {} is no time", self.age_ms);
+        if !(0.0..MAX_STATUS_AGE_MS).contains(&self.age_ms) {
+            bail!("age_ms: {} is not from 0 to {MAX_STATUS_AGE_MS}", self.age_ms);
         }
         let since = Tenths::floor(self.age_ms);
         Ok(Standing { build: Build(self.build), stage: self.stage, phase, cap: self.cap, since })
     }
 }
 
-impl SidecarConfig {
-    /// What of it may change while the program runs.
-    pub fn into_reloadable(self) -> Changes {
-        Changes { places: self.places, leadership: self.operators.leadership }
-    }
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr> {
+    text.parse().map_err(|_| anyhow!("{field}: {text:?} is not an IP address with a port"))
+}
+
+fn parse_optional_address(field: &str, text: &Option<String>) -> Result<Option<SocketAddr>> {
+    text.as_deref().map(|text| parse_address(field, text)).transpose()
 }
 
-fn address(field: &str, text: &str) -> Result<SocketAddr> {
-    text.parse().map_err(|_| anyhow!("{field}: {text:?} is not an address with a port"))
+/// Whether a setting switches its feature on: `true`, a number other than 0, or the word `pull`.
+fn is_switched_on(settings: &Value, path: &str) -> bool {
+    match settings.pointer(path) {
+        Some(Value::Bool(on)) => *on,
+        Some(Value::Number(number)) => number.as_f64() != Some(0.0),
+        Some(Value::String(word)) => word == "pull",
+        _ => false,
+    }
 }
 
+/// Why the configuration is read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadKind {
+    /// The process starts.
     Initial,
-    /// The environment still names the discovery of the start, so here the file goes before it.
+    /// The file may have been replaced. The environment still has the discovery address of the start, so the
+    /// file's address takes precedence here.
     Reload,
 }
 
-/// The configuration, with what the environment says of it in front.
+/// Reads the configuration; environment variables take precedence over its fields.
+///
+/// # Errors
+///
+/// Each error names the field at fault. Settings with streamed answers or sticky keys, which are not
+/// supported, are errors too.
 pub fn read(text: &str, env: impl Fn(&str) -> Option<String>, load_kind: LoadKind) -> Result<SidecarConfig> {
-    let form: Form = serde_json::from_str(text).context("configuration")?;
-    let given = |field: &str, variable: &str, value: Option<String>| {
+    let file: ConfigFile = serde_json::from_str(text).context("configuration")?;
+    let required = |field: &str, variable: &str, value: Option<String>| {
         env(variable).or(value).ok_or_else(|| anyhow!("{field}: missing, and {variable} is not set"))
     };
-    let optional =
-        |field: &str, text: &Option<String>| text.as_deref().map(|t| address(field, t)).transpose();
-    let (facts, names) = stagepond_facts::read(&form.settings)?;
-    let ms = |path: &str| stagepond_facts::number(&form.settings, path).map(Tenths::floor);
-    let on = |path: &str| match form.settings.pointer(path) {
-        Some(Value::Bool(on)) => *on,
-        Some(Value::Number(n)) => n.as_f64() != Some(0.0),
-        Some(Value::String(word)) => word == "pull",
-        _ => false,
-    };
-    let streams = |operation: &Value| operation.pointer("/streaming") == Some(&Value::Bool(true));
-    if stagepond_facts::list(&form.settings, "/classes")?.iter().any(streams) {
-        bail!("settings: /classes: streamed answers are not there on sockets");
+    let settings = &file.settings;
+    let (facts, names) = stagepond_facts::read(settings)?;
+    let time = |path: &str| stagepond_facts::number(settings, path).map(Tenths::floor);
+    let is_streaming = |operation: &Value| operation.pointer("/streaming") == Some(&Value::Bool(true));
+    if stagepond_facts::list(settings, "/classes")?.iter().any(is_streaming) {
+        bail!("settings: /classes: streaming is true, but streamed answers are not supported");
     }
     if facts.one_way_keys {
-        bail!("settings: /family_info/no_return: keys that never go back are not there on sockets");
+        bail!(
+            "settings: /family_info/no_return: keys that never return to an earlier build are not supported"
+        );
     }
     if facts.me.0 >= facts.sidecars {
-        bail!("settings: /self_index is not below /fleet_size");
+        bail!("settings: /self_index: {} is not below /fleet_size: {}", facts.me.0, facts.sidecars);
     }
     let peers: Vec<SocketAddr> =
-        form.peers.iter().map(|peer| address("peers", peer)).collect::<Result<_>>()?;
-    let peer_listen = optional("peer_listen", &form.peer_listen)?;
-    if facts.peers && (peers.len() != facts.sidecars || peer_listen.is_none()) {
-        bail!("peers: {} for a fleet of {}, or peer_listen is missing", peers.len(), facts.sidecars);
+        file.peers.iter().map(|peer| parse_address("peers", peer)).collect::<Result<_>>()?;
+    let peer_listen = parse_optional_address("peer_listen", &file.peer_listen)?;
+    if facts.peers && peers.len() != facts.sidecars {
+        bail!("peers: {} addresses, expected {} (/fleet_size)", peers.len(), facts.sidecars);
+    }
+    if facts.peers && peer_listen.is_none() {
+        bail!("peer_listen: missing, but /bounds/peers is true");
     }
-    if form.limits.sockets < 64 {
-        bail!("limits.sockets: {} leaves no room for clients and pods", form.limits.sockets);
+    if file.limits.sockets < MIN_SOCKETS {
+        bail!("limits.sockets: {}, expected at least {MIN_SOCKETS}", file.limits.sockets);
     }
-    let known = match form.known {
+    let known_pods = match file.known {
         Some(known) => discovery::decode(known, &names).context("known")?,
         None => List { index: 0, whole: true, rows: Vec::new() },
     };
-    let absent = [
-        ("/bounds/probing", "probes"),
-        ("/family_info/tally_every_ms", "tallies"),
-        ("/report/how", "load reports that must be asked for"),
-    ];
-    let discovery = match load_kind {
-        LoadKind::Reload if form.discovery.is_some() => form.discovery.unwrap_or_default(),
-        _ => given("discovery", "BALANCER_DISCOVERY", form.discovery)?,
+    let discovery_address = match load_kind {
+        LoadKind::Reload if file.discovery.is_some() => file.discovery.unwrap_or_default(),
+        _ => required("discovery", "BALANCER_DISCOVERY", file.discovery)?,
     };
-    let seed = u64::from_str_radix(&form.seed, 16);
-    let (platform, news) = match form.pipeline {
-        Some(pipeline) => (Some(address("pipeline.address", &pipeline.address)?), pipeline.news),
+    let seed = u64::from_str_radix(&file.seed, 16);
+    let (platform, news) = match file.pipeline {
+        Some(pipeline) => (Some(parse_address("pipeline.address", &pipeline.address)?), pipeline.news),
         None => (None, None),
     };
     Ok(SidecarConfig {
-        name: given("name", "BALANCER_NAME", form.name)?,
-        listen: address("listen", &given("listen", "BALANCER_LISTEN", form.listen)?)?,
-        places: Places { discovery: address("discovery", &discovery)?, platform },
-        seed: seed.map_err(|_| anyhow!("seed: {:?} is not a 64 bit number in hex", form.seed))?,
+        name: required("name", "BALANCER_NAME", file.name)?,
+        listen: parse_address("listen", &required("listen", "BALANCER_LISTEN", file.listen)?)?,
+        places: Places { discovery: parse_address("discovery", &discovery_address)?, platform },
+        seed: seed.map_err(|_| anyhow!("seed: {:?} is not a 64-bit hexadecimal number", file.seed))?,
         peer_listen,
         peers,
-        peers_all: optional("peers_all", &form.peers_all)?,
+        peers_all: parse_optional_address("peers_all", &file.peers_all)?,
         rollout_status: news.map(RawRolloutStatus::parse).transpose().context("pipeline.news")?,
-        known_pods: List { whole: true, ..known },
+        known_pods: List { whole: true, ..known_pods },
         transport: TransportConfig {
-            connect_timeout: ms("/bounds/connect_timeout_ms")?,
-            idle_timeout: ms("/bounds/idle_close_ms")?,
-            max_sockets: form.limits.sockets,
-            memory_bytes: form.limits.memory_mb.unwrap_or(MEMORY_MB) << 20,
+            connect_timeout: time("/bounds/connect_timeout_ms")?,
+            idle_timeout: time("/bounds/idle_close_ms")?,
+            max_sockets: file.limits.sockets,
+            memory_bytes: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) << 20,
         },
         operators: OperatorsConfig::default(),
-        unsupported: absent.iter().filter(|(path, _)| on(path)).map(|(_, what)| *what).collect(),
+        unsupported: UNSUPPORTED_SETTINGS
+            .iter()
+            .filter(|(path, _)| is_switched_on(settings, path))
+            .map(|(_, feature)| *feature)
+            .collect(),
         facts,
         names,
     })
--- a/crates/stagepond-sidecar/src/main.rs
+++ b/crates/stagepond-sidecar/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `stagepond`: all of it is in the library, so that other packages can drive the same parts.
+//! The `stagepond` binary. Everything is in the library, so that other packages can drive the same parts.
 
 fn main() -> std::process::ExitCode {
     stagepond_sidecar::cli::main()
