--- a/crates/stagepond-facts/src/lib.rs
+++ b/crates/stagepond-facts/src/lib.rs
@@ -33,30 +33,30 @@
 }
 
 fn operation(settings: &Value) -> Result<Operation> {
-    let repeat = match word(settings, "/repeat")? {
-        "pure" => Repeat::Idempotent,
-        "token" => Repeat::Fingerprinted,
-        "side_effect" => Repeat::SideEffecting,
+    let retry_safety = match word(settings, "/repeat")? {
+        "pure" => RetrySafety::Idempotent,
+        "token" => RetrySafety::Fingerprinted,
+        "side_effect" => RetrySafety::SideEffecting,
         other => bail!("settings: /repeat is {other:?}"),
     };
-    let group = match settings.pointer("/group").and_then(Value::as_str).unwrap_or("all") {
-        "all" => Group::All,
-        "zone" => Group::Zone,
-        "cell" => Group::Cell,
+    let dedup_scope = match settings.pointer("/group").and_then(Value::as_str).unwrap_or("all") {
+        "all" => DedupScope::All,
+        "zone" => DedupScope::Zone,
+        "cell" => DedupScope::Cell,
         other => bail!("settings: /group is {other:?}"),
     };
     let window = settings.pointer("/window_ms").and_then(Value::as_f64).unwrap_or(0.0);
     Ok(Operation {
-        repeat,
-        group,
-        slo_time: Tenths::floor(number(settings, "/aim_ms")?),
-        repeat_window: Tenths::floor(window),
+        retry_safety,
+        dedup_scope,
+        slo_time: Tenths::floor_ms(number(settings, "/aim_ms")?),
+        dedup_window: Tenths::floor_ms(window),
         billed_value: number(settings, "/worth")?,
     })
 }
 
 pub fn read(s: &Value) -> Result<(Facts, Names)> {
-    let ms = |path: &str| number(s, path).map(Tenths::floor);
+    let ms = |path: &str| number(s, path).map(Tenths::floor_ms);
     let names = |path: &str| -> Result<Vec<String>> {
         list(s, path)?.iter().map(|c| Ok(word(c, "/name")?.to_string())).collect()
     };
@@ -67,37 +67,37 @@
     let here = word(s, "/zone")?;
     let zone =
         zones.iter().position(|z| z == here).ok_or_else(|| anyhow!("settings: /zone is not in /zones"))?;
-    let first_cap = list(s, "/family_info/caps")?.first().and_then(Value::as_f64).unwrap_or(0.0);
+    let initial_cap = list(s, "/family_info/caps")?.first().and_then(Value::as_f64).unwrap_or(0.0);
     let facts = Facts {
-        me: Peer(number(s, "/self_index")? as usize),
-        sidecars: number(s, "/fleet_size")? as usize,
+        own_peer: Peer(number(s, "/self_index")? as usize),
+        sidecar_count: number(s, "/fleet_size")? as usize,
         zone: Zone(zone),
-        kinds: kinds.len(),
+        machine_kinds: kinds.len(),
         operations: list(s, "/classes")?.iter().map(operation).collect::<Result<_>>()?,
-        value_by_work: word(s, "/worth_by")? == "work",
-        dispatches_max: number(s, "/bounds/max_attempts")? as usize,
-        second_copies: yes(s, "/bounds/parallel_tries")?,
-        may_cancel: yes(s, "/bounds/cancel")?,
-        peers: yes(s, "/bounds/peers")?,
-        crossing_price: number(s, "/prices/cross_zone")?,
-        stay_away_max: if yes(s, "/bounds/retry_after")? {
+        billed_value_per_work: word(s, "/worth_by")? == "work",
+        max_dispatches: number(s, "/bounds/max_attempts")? as usize,
+        parallel_dispatches: yes(s, "/bounds/parallel_tries")?,
+        cancel_allowed: yes(s, "/bounds/cancel")?,
+        peer_messages: yes(s, "/bounds/peers")?,
+        cross_zone_price: number(s, "/prices/cross_zone")?,
+        max_retry_after: if yes(s, "/bounds/retry_after")? {
             ms("/bounds/max_retry_after_ms")?
         } else {
             Tenths(0)
         },
-        first_cap,
-        spare: number(s, "/family_info/spare_tries")?,
-        cap_by_operation: word(s, "/family_info/counts")? == "class",
-        guarded_stages: number(s, "/family_info/guarded_stages")? as u32,
-        one_way_keys: yes(s, "/family_info/no_return")?,
-        votes_move: word(s, "/family_info/vote_mode")? != "timer",
-        stage_min: ms("/family_info/least_stage_ms")?,
-        vote_life: ms("/family_info/ballot_ttl_ms")?,
-        vote_wait: ms("/family_info/vote_wait_ms")?,
+        initial_cap,
+        cap_burst: number(s, "/family_info/spare_tries")?,
+        cap_per_operation: word(s, "/family_info/counts")? == "class",
+        idempotent_only_stages: number(s, "/family_info/guarded_stages")? as u32,
+        sticky_keys: yes(s, "/family_info/no_return")?,
+        votes_advance: word(s, "/family_info/vote_mode")? != "timer",
+        min_stage_time: ms("/family_info/least_stage_ms")?,
+        vote_ttl: ms("/family_info/ballot_ttl_ms")?,
+        vote_timeout: ms("/family_info/vote_wait_ms")?,
         flag_share: number(s, "/family_info/flag_share")?,
-        cold_share: number(s, "/guarantees/cold_share")?,
-        warm_after: ms("/guarantees/ramp_time_ms")?,
-        fall_multiple: number(s, "/guarantees/fall_multiple")?,
+        cold_capacity_share: number(s, "/guarantees/cold_share")?,
+        warmup_time: ms("/guarantees/ramp_time_ms")?,
+        overload_multiple: number(s, "/guarantees/fall_multiple")?,
         must_subscribe: word(s, "/membership_mode")? == "subscribe",
     };
     Ok((facts, Names { operations: names("/classes")?, zones, kinds }))
--- a/crates/stagepond-leadership/src/bounds.rs
+++ b/crates/stagepond-leadership/src/bounds.rs
@@ -118,7 +118,7 @@
     /// counts `hold` from when the beat came, at worst on a clock that is fast by `drift`, the leader counts
     /// this from when it went out, at worst on one that is slow by as much.
     pub fn lease(&self) -> Tenths {
-        self.hold.part((1.0 - self.drift) / (1.0 + self.drift)) - self.margin - Tenths(1)
+        self.hold.scale((1.0 - self.drift) / (1.0 + self.drift)) - self.margin - Tenths(1)
     }
 
     pub fn beat(&self) -> Tenths {
--- a/crates/stagepond-sidecar/src/front.rs
+++ b/crates/stagepond-sidecar/src/front.rs
@@ -20,7 +20,7 @@
 use hyper::{HeaderMap, Method, StatusCode, Uri};
 use hyper_util::service::TowerToHyperService;
 use nix::sys::socket::{setsockopt, sockopt};
-use stagepond::host::{Op, Repeat, Tenths};
+use stagepond::host::{Op, RetrySafety, Tenths};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot, Notify};
 
@@ -71,7 +71,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-pub struct Operations(pub Vec<(String, Repeat)>);
+pub struct Operations(pub Vec<(String, RetrySafety)>);
 
 struct Client {
     since: Tenths,
@@ -431,12 +431,12 @@
     let limit = limit.filter(|limit| Tenths(0) < *limit && *limit <= LIMIT_MAX);
     let limit = limit.ok_or_else(|| malformed("X-Timeout-Ms is not a number of milliseconds to wait"))?;
     let repeat = operations.0[op].1;
-    if (repeat == Repeat::Idempotent) != (method == Method::GET)
-        || repeat != Repeat::Idempotent && method != Method::POST
+    if (repeat == RetrySafety::Idempotent) != (method == Method::GET)
+        || repeat != RetrySafety::Idempotent && method != Method::POST
     {
         return Err(malformed("the method is not this operation's"));
     }
-    if repeat == Repeat::Fingerprinted && text(FINGERPRINT).is_none() {
+    if repeat == RetrySafety::Fingerprinted && text(FINGERPRINT).is_none() {
         return Err(malformed("Idempotency-Key is missing"));
     }
     let length = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
--- a/crates/stagepond-sidecar/src/launch.rs
+++ b/crates/stagepond-sidecar/src/launch.rs
@@ -98,7 +98,7 @@
         if !(0.0..1e12).contains(&self.age_ms) {
             bail!("age_ms: {} is no time", self.age_ms);
         }
-        let since = Tenths::floor(self.age_ms);
+        let since = Tenths::floor_ms(self.age_ms);
         Ok(Standing { build: Build(self.build), stage: self.stage, phase, cap: self.cap, since })
     }
 }
@@ -130,7 +130,7 @@
     let optional =
         |field: &str, text: &Option<String>| text.as_deref().map(|t| address(field, t)).transpose();
     let (facts, names) = stagepond_facts::read(&form.settings)?;
-    let ms = |path: &str| stagepond_facts::number(&form.settings, path).map(Tenths::floor);
+    let ms = |path: &str| stagepond_facts::number(&form.settings, path).map(Tenths::floor_ms);
     let on = |path: &str| match form.settings.pointer(path) {
         Some(Value::Bool(on)) => *on,
         Some(Value::Number(n)) => n.as_f64() != Some(0.0),
@@ -141,17 +141,17 @@
     if stagepond_facts::list(&form.settings, "/classes")?.iter().any(streams) {
         bail!("settings: /classes: streamed answers are not there on sockets");
     }
-    if facts.one_way_keys {
+    if facts.sticky_keys {
         bail!("settings: /family_info/no_return: keys that never go back are not there on sockets");
     }
-    if facts.me.0 >= facts.sidecars {
+    if facts.own_peer.0 >= facts.sidecar_count {
         bail!("settings: /self_index is not below /fleet_size");
     }
     let peers: Vec<SocketAddr> =
         form.peers.iter().map(|peer| address("peers", peer)).collect::<Result<_>>()?;
     let peer_listen = optional("peer_listen", &form.peer_listen)?;
-    if facts.peers && (peers.len() != facts.sidecars || peer_listen.is_none()) {
-        bail!("peers: {} for a fleet of {}, or peer_listen is missing", peers.len(), facts.sidecars);
+    if facts.peer_messages && (peers.len() != facts.sidecar_count || peer_listen.is_none()) {
+        bail!("peers: {} for a fleet of {}, or peer_listen is missing", peers.len(), facts.sidecar_count);
     }
     if form.limits.sockets < 64 {
         bail!("limits.sockets: {} leaves no room for clients and pods", form.limits.sockets);
--- a/crates/stagepond-sidecar/src/leading_stories.rs
+++ b/crates/stagepond-sidecar/src/leading_stories.rs
@@ -37,7 +37,7 @@
 impl Trio {
     fn begins() -> Trio {
         let story = |me: usize| {
-            let facts = Facts { me: Peer(me), sidecars: SIDECARS, peers: true, ..facts() };
+            let facts = Facts { own_peer: Peer(me), sidecar_count: SIDECARS, peer_messages: true, ..facts() };
             let leading = Leading::new(BEGIN + Tenths(me as i64), Peer(me), me as u64, &asked(), None);
             Story::led(facts, vec![row(1, 1), row(2, 1)], Some(leading))
         };
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -70,7 +70,7 @@
     pub name: PodName,
     pub address: SocketAddr,
     pub zone: Zone,
-    pub kind: Kind,
+    pub kind: MachineKind,
     pub cell: Cell,
     pub availability: Availability,
     pub weight: f64,
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{anyhow, bail, Context, Result};
 use serde::Deserialize;
-use stagepond::host::{Build, Facts, Op, Repeat, Tenths};
+use stagepond::host::{Build, Facts, Op, RetrySafety, Tenths};
 use stagepond_facts::Names;
 use stagepond_leadership::bounds::Bounds;
 use stagepond_leadership::ids::Seat;
@@ -152,14 +152,14 @@
     if !(0.0..=86_400_000.0).contains(&ms) {
         bail!("{field}: {ms} is no time in ms up to a day");
     }
-    Ok(Tenths::floor(ms))
+    Ok(Tenths::floor_ms(ms))
 }
 
 fn leadership(form: LeadershipForm, facts: &Facts, folder: &Path) -> Result<Leadership> {
-    if !facts.peers {
+    if !facts.peer_messages {
         bail!("leadership: the settings allow no datagrams among instances (bounds.peers)");
     }
-    let seats = u16::try_from(facts.sidecars).map_err(|_| anyhow!("leadership: too many instances"))?;
+    let seats = u16::try_from(facts.sidecar_count).map_err(|_| anyhow!("leadership: too many instances"))?;
     let mut bounds = Bounds::usual(seats);
     let set = |field: &str, to: &mut Tenths, ms: Option<f64>| -> Result<()> {
         if let Some(ms) = ms {
@@ -202,7 +202,7 @@
 fn verified(form: TufForm, facts: &Facts, names: &Names, folder: &Path) -> Result<Verified> {
     let op = names.operations.iter().position(|name| *name == form.operation);
     let op = op.with_context(|| format!("tuf.operation: {:?} is not in the settings", form.operation))?;
-    if facts.operations[op].repeat != Repeat::Idempotent {
+    if facts.operations[op].retry_safety != RetrySafety::Idempotent {
         bail!(
             "tuf.operation: {:?} may not be repeated: only what is idempotent can be asked of another pod",
             form.operation
@@ -267,7 +267,7 @@
     use super::*;
 
     fn facts() -> Facts {
-        Facts { sidecars: 3, peers: true, ..Facts::default() }
+        Facts { sidecar_count: 3, peer_messages: true, ..Facts::default() }
     }
 
     fn names() -> Names {
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -50,7 +50,7 @@
             if !(0.0..1e12).contains(&told.age_ms) {
                 bail!("DISPUTE: age_ms {} is no time", told.age_ms);
             }
-            let (pod, age) = (PodName(told.server.into()), Tenths::floor(told.age_ms));
+            let (pod, age) = (PodName(told.server.into()), Tenths::floor_ms(told.age_ms));
             Some(Input::Disputed { pod, op: Op(op), age })
         }
         _ => None,
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -194,7 +194,7 @@
             .retry_canceled_requests(false)
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(duration(self.transport.idle_close.part(IDLE_SHARE)))
+            .pool_idle_timeout(duration(self.transport.idle_close.scale(IDLE_SHARE)))
             .http1_max_buf_size(HEAD_MAX)
             .build(dial);
         Some(Lane { client, trace, free_since: Instant::now(), _counted: self.lanes.clone() })
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    fn wake_in(&mut self, delay: Tenths, token: u64) {
+    fn set_timer(&mut self, delay: Tenths, token: u64) {
         self.bells.insert((self.now + delay, token));
     }
 
@@ -153,11 +153,11 @@
         self.log("no probes on sockets");
     }
 
-    fn drop_idle(&mut self, pod: PodId) {
+    fn close_idle_connections(&mut self, pod: PodId) {
         self.effects.extend(self.addresses.get(&pod).copied().map(Effect::DropIdle));
     }
 
-    fn tell(&mut self, to: Option<Peer>, words: &[u8]) {
+    fn send_to_peer(&mut self, to: Option<Peer>, words: &[u8]) {
         self.effects.push(Effect::Tell { to, words: words.to_vec() });
     }
 
@@ -172,7 +172,7 @@
     /// The watch always stands here, so there is nothing to ask for.
     fn subscribe(&mut self, _wanted: bool) {}
 
-    fn reload(&mut self) {
+    fn reload_pod_list(&mut self) {
         self.effects.push(Effect::WholeList);
     }
 
@@ -240,8 +240,8 @@
         let Switched { leading, verifying } = switched;
         let ledger = Ledger {
             now,
-            dispatches_max: facts.dispatches_max,
-            second_copies: facts.second_copies,
+            dispatches_max: facts.max_dispatches,
+            second_copies: facts.parallel_dispatches,
             invs: HashMap::new(),
             ids: HashSet::new(),
             open: 0,
@@ -270,10 +270,10 @@
             connected: false,
         };
         reducer.ledger.effects.push(Effect::Enter(State::Starting));
-        reducer.balancer.started(&mut reducer.ledger);
+        reducer.balancer.start(&mut reducer.ledger);
         if reducer.leading.is_some() {
             // Until somebody leads nobody votes.
-            reducer.balancer.leadership(&mut reducer.ledger, Vec::new(), false);
+            reducer.balancer.on_leadership(&mut reducer.ledger, Vec::new(), false);
         }
         reducer.list(known);
         if let Some(standing) = standing {
@@ -303,18 +303,18 @@
                 self.list(list);
                 self.may_place(true);
             }
-            Input::ListBroke => self.balancer.list_broke(&mut self.ledger),
+            Input::ListBroke => self.balancer.on_pod_list_failure(&mut self.ledger),
             Input::Standing(standing) => self.standing(Ok(standing), false),
             Input::VoteAnswered(answer) => self.standing(answer, true),
             Input::Disputed { pod, op, age } => {
                 if let Some(&Pod { id, .. }) = self.ledger.pods.get(&pod) {
-                    self.balancer.objection(&mut self.ledger, id, op, age);
+                    self.balancer.on_objection(&mut self.ledger, id, op, age);
                 }
             }
             Input::Mail { from: _, words } if self.leading.is_some() && is_for_leadership(&words) => {
                 self.lead(|leading, now| leading.datagram(now, &words));
             }
-            Input::Mail { from, words } => self.balancer.peer(&mut self.ledger, from, &words),
+            Input::Mail { from, words } => self.balancer.on_peer_message(&mut self.ledger, from, &words),
             Input::Kept(number) => self.lead(|leading, now| leading.kept(now, number)),
             Input::Tick => self.tick(),
             Input::Hangup => {
@@ -413,7 +413,7 @@
         self.ledger.effects.extend(effects);
         let said = if again { leading.said(now) } else { None };
         if let Some((voters, acts)) = lead {
-            self.balancer.leadership(&mut self.ledger, voters, acts);
+            self.balancer.on_leadership(&mut self.ledger, voters, acts);
         }
         if let Some(said) = said {
             self.hear(Ok(said), false);
@@ -450,7 +450,7 @@
 
     fn tell(&mut self, inv: &InvId, nth: usize, took: Tenths, ending: Ending, in_flight: Option<f64>) {
         let last = self.ledger.invs.get(inv).is_none_or(|held| held.answered);
-        self.balancer.outcome(&mut self.ledger, inv, last, nth, took, ending, in_flight);
+        self.balancer.on_outcome(&mut self.ledger, inv, last, nth, took, ending, in_flight);
         self.ledger.forget_if_over(inv);
     }
 
@@ -469,14 +469,14 @@
             Held { ticket, id, call, until, sent: 0, out: Vec::new(), answered: false, target, failed: None };
         self.ledger.invs.insert(inv.clone(), held);
         self.ledger.open += 1;
-        self.balancer.invocation(&mut self.ledger, inv, None, op, until);
+        self.balancer.on_invocation(&mut self.ledger, inv, None, op, until);
     }
 
     fn left(&mut self, inv: &InvId) {
         let Some(held) = self.ledger.invs.get_mut(inv).filter(|held| !held.answered) else { return };
         held.answered = true;
         self.ledger.open -= 1;
-        self.balancer.aborted(&mut self.ledger, inv);
+        self.balancer.on_abort(&mut self.ledger, inv);
         self.ledger.forget_if_over(inv);
     }
 
@@ -569,7 +569,7 @@
         // Only what is due now: the module sets a next wake on each.
         let later = self.ledger.bells.split_off(&(now + Tenths(1), 0));
         for (_, token) in std::mem::replace(&mut self.ledger.bells, later) {
-            self.balancer.wake(&mut self.ledger, token);
+            self.balancer.on_timer(&mut self.ledger, token);
         }
         self.may_place(false);
         if self.lifecycle.listened_enough(now) {
@@ -579,7 +579,7 @@
 
     fn list(&mut self, list: List) {
         let now = self.ledger.now;
-        self.balancer.list_begins(list.whole);
+        self.balancer.begin_pod_list(list.whole);
         if list.whole {
             let rows: HashSet<_> = list.rows.iter().map(|row| &row.name).collect();
             for (name, pod) in &mut self.ledger.pods {
@@ -604,7 +604,7 @@
                 self.ledger.effects.push(Effect::DropIdle(old.0));
             }
             self.ledger.addresses.insert(pod.id, row.address);
-            self.balancer.pod(
+            self.balancer.on_pod(
                 pod.id,
                 row.kind,
                 row.zone,
@@ -615,7 +615,7 @@
                 row.build,
             );
         }
-        self.balancer.list_ends(&mut self.ledger);
+        self.balancer.end_pod_list(&mut self.ledger);
         let addresses = &mut self.ledger.addresses;
         self.ledger.pods.retain(|_, pod| {
             let kept = pod.gone_since.is_none_or(|since| now < since + GONE_KEPT);
@@ -642,7 +642,7 @@
             Err(ending) => (none, ending),
         };
         let host = &mut self.ledger;
-        self.balancer.stage(host, s.build, s.stage, s.since, s.phase, to_vote, s.cap, ending);
+        self.balancer.on_stage(host, s.build, s.stage, s.since, s.phase, to_vote, s.cap, ending);
     }
 
     #[cfg(test)]
--- a/crates/stagepond-sidecar/src/shell.rs
+++ b/crates/stagepond-sidecar/src/shell.rs
@@ -41,13 +41,13 @@
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
     let (inputs, mut taken) = mpsc::unbounded_channel();
     let (news, mut told) = mpsc::channel(NEWS_QUEUE);
-    let (names, me) = (Arc::new(launch.names), launch.facts.me);
+    let (names, me) = (Arc::new(launch.names), launch.facts.own_peer);
 
     let shared = launch.transport.sockets - SPARE_SOCKETS.min(launch.transport.sockets / 2);
     let clients_max = (shared as f64 * FRONT_SHARE) as usize;
     let held = (launch.transport.memory as f64 * FRONT_MEMORY) as usize / front::CONNECTION_BYTES;
     let clients_max = clients_max.min(held);
-    let repeats = launch.facts.operations.iter().map(|o| o.repeat);
+    let repeats = launch.facts.operations.iter().map(|o| o.retry_safety);
     let operations = Operations(names.operations.iter().cloned().zip(repeats).collect());
     let front = Front::new(operations, clients_max, clock, inputs.clone());
     let mut pods = Pods::new(shared - clients_max, launch.transport, clock, inputs.clone());
@@ -63,7 +63,7 @@
     let (discovery, place) = watch::channel(launch.places.discovery);
     tokio::spawn(discovery::watch(place, index, names.clone(), whole.clone(), news.clone()));
     let (votes, wanted) = mpsc::unbounded_channel();
-    let vote_wait = duration(launch.facts.vote_wait);
+    let vote_wait = duration(launch.facts.vote_timeout);
     let (platform, place) = watch::channel(launch.places.platform);
     tokio::spawn(platform::listen(place.clone(), names.clone(), news.clone()));
     tokio::spawn(platform::votes(place, wanted, news.clone(), clock));
--- a/crates/stagepond-sidecar/src/verifying.rs
+++ b/crates/stagepond-sidecar/src/verifying.rs
@@ -236,12 +236,12 @@
                 }
                 self.failures = 0;
                 // Not in step with others that started together.
-                self.refresh_at = now + self.asked.refresh_every.part(0.75 + self.rng.f64() / 2.0);
+                self.refresh_at = now + self.asked.refresh_every.scale(0.75 + self.rng.f64() / 2.0);
             }
             Err(refusal) => {
                 let most = AGAIN_MOST.min(self.asked.refresh_every.max(AGAIN_FIRST));
                 let again = Tenths(AGAIN_FIRST.0 << self.failures.min(10)).min(most);
-                let again = again.part(0.5 + self.rng.f64() / 2.0);
+                let again = again.scale(0.5 + self.rng.f64() / 2.0);
                 self.failures += 1;
                 self.refresh_at = now + again;
                 let (kind, why) = (refusal.kind(), refusal.to_string());
--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -63,30 +63,32 @@
         let late = |o: &Operation| o.slo_time.0 as f64 / 10.0;
         let usual = |o| Usual { slow_share: 1.0 - SLOW_QUANTILE, mark_before: late(o), ..Usual::default() };
         Balancer {
-            band: BAND * (BANDS_FULL / facts.sidecars.max(1) as f64).min(1.0),
+            band: BAND * (BANDS_FULL / facts.sidecar_count.max(1) as f64).min(1.0),
             room: 64.0,
-            allowance: vec![0.0; if facts.cap_by_operation { ops } else { 1 }],
+            allowance: vec![0.0; if facts.cap_per_operation { ops } else { 1 }],
             lanes: vec![0.0; LANES],
-            usual: (0..facts.kinds.max(1)).flat_map(|_| facts.operations.iter().map(usual)).collect(),
+            usual: (0..facts.machine_kinds.max(1)).flat_map(|_| facts.operations.iter().map(usual)).collect(),
             erring: vec![Erring { share: P0_START }; ops],
             flags: 1.0,
             succeeded: 250.0,
             mine: Said { life: rng.u16(..), ..Said::default() },
-            said: vec![Said::default(); facts.sidecars],
+            said: vec![Said::default(); facts.sidecar_count],
             rng,
-            voters: (0..VOTERS.min(facts.sidecars)).map(Peer).collect(),
-            turn: Some(facts.me.0).filter(|&rank| rank < VOTERS),
+            voters: (0..VOTERS.min(facts.sidecar_count)).map(Peer).collect(),
+            turn: Some(facts.own_peer.0).filter(|&rank| rank < VOTERS),
             facts,
             ..Balancer::default()
         }
     }
 
-    pub fn started(&mut self, host: &mut dyn Host) {
+    pub fn start(&mut self, host: &mut dyn Host) {
         (self.awake_since, self.pulse_at) = (host.now(), host.now());
-        self.list_broke(host);
+        self.on_pod_list_failure(host);
     }
 
-    pub fn invocation(&mut self, host: &mut dyn Host, inv: InvId, key: Option<KeyId>, op: Op, until: Tenths) {
+    pub fn on_invocation(
+        &mut self, host: &mut dyn Host, inv: InvId, key: Option<KeyId>, op: Op, until: Tenths,
+    ) {
         self.look_up(host);
         self.spare_sends = (self.spare_sends + 0.1).min(20.0);
         let (bucket, cap) = (self.bucket(op), self.cap());
@@ -97,15 +99,15 @@
         if self.open as f64 + self.lost + self.rng.f64() >= bound {
             self.pinched = true;
             self.fleet = (self.fleet.0 + 1.0, self.fleet.1 + 1.0);
-            host.throttle(&inv, self.facts.stay_away_max);
+            host.throttle(&inv, self.facts.max_retry_after);
             return self.settle(host);
         }
-        let waits = (self.now + self.facts.operations[op.0].slo_time.part(PATIENCE)).min(until);
+        let waits = (self.now + self.facts.operations[op.0].slo_time.scale(PATIENCE)).min(until);
         self.hold(inv, key, op, waits, until);
         self.settle(host);
     }
 
-    pub fn outcome(
+    pub fn on_outcome(
         &mut self, host: &mut dyn Host, inv: &InvId, last: bool, nth: usize, took: Tenths, ending: Ending,
         in_flight: Option<f64>,
     ) {
@@ -115,9 +117,9 @@
         let (op, answered, erred, key) = (found.op, found.answered, found.sent[nth].erred, found.key);
         let wait = found.until - at;
         self.bind(key.filter(|_| ending == Ending::Succeeded), self.pods.build[pod]);
-        self.note_pod(pod, at, ending, in_flight, took > self.facts.operations[op.0].slo_time.part(0.5));
+        self.note_pod(pod, at, ending, in_flight, took > self.facts.operations[op.0].slo_time.scale(0.5));
         // What errs at any pod blames neither pod nor build: an error counts once another pod did better.
-        let last_word = !self.may_send_again(&self.invs[inv]) || nth + 1 >= self.facts.dispatches_max;
+        let last_word = !self.may_send_again(&self.invs[inv]) || nth + 1 >= self.facts.max_dispatches;
         if ending == Ending::Succeeded {
             before.iter().for_each(|&p| self.blame(p, op));
         }
@@ -136,7 +138,7 @@
         self.settle(host);
     }
 
-    pub fn aborted(&mut self, host: &mut dyn Host, inv: &InvId) {
+    pub fn on_abort(&mut self, host: &mut dyn Host, inv: &InvId) {
         self.look_up(host);
         // Who leaves early waits on a pod whose time-out would tell only seconds later.
         if let Some((op, pod, at)) = self.invs.get(inv).and_then(Inv::waits_on) {
@@ -146,9 +148,9 @@
         self.settle(host);
     }
 
-    pub fn pod(
-        &mut self, pod: PodId, kind: Kind, zone: Zone, availability: Availability, cell: Cell, weight: f64,
-        born: Option<Tenths>, build: Build,
+    pub fn on_pod(
+        &mut self, pod: PodId, kind: MachineKind, zone: Zone, availability: Availability, cell: Cell,
+        weight: f64, born: Option<Tenths>, build: Build,
     ) {
         let born = born.unwrap_or(Tenths(i64::MIN / 4));
         let p = self.pods.entry(self.now, pod, kind, zone, cell, born, build, self.rng.f64());
@@ -157,30 +159,30 @@
         self.pods.listed[p] = true;
     }
 
-    pub fn list_ends(&mut self, host: &mut dyn Host) {
+    pub fn end_pod_list(&mut self, host: &mut dyn Host) {
         self.look_up(host);
         self.pods.drop_unlisted(self.now);
         self.sort_pods();
         self.settle(host);
     }
 
-    pub fn list_broke(&mut self, host: &mut dyn Host) {
+    pub fn on_pod_list_failure(&mut self, host: &mut dyn Host) {
         if self.facts.must_subscribe {
             host.subscribe(true);
         }
         self.settle(host);
     }
 
-    pub fn stage(
+    pub fn on_stage(
         &mut self, host: &mut dyn Host, build: Build, stage: u32, since: Tenths, phase: Phase, to_vote: bool,
         cap: f64, ending: Ending,
     ) {
         self.look_up(host);
         if let (true, Some(ballot)) = (to_vote, &mut self.ballot) {
             self.rebuffs = if ending == Ending::Succeeded { 0 } else { (self.rebuffs + 1).min(5) };
-            let again = self.facts.vote_wait.part(f64::from(1 << self.rebuffs));
+            let again = self.facts.vote_timeout.scale(f64::from(1 << self.rebuffs));
             let settled = matches!(ending, Ending::Succeeded | Ending::Moot);
-            ballot.3 = self.now + if settled { self.facts.vote_life.part(0.5) } else { again };
+            ballot.3 = self.now + if settled { self.facts.vote_ttl.scale(0.5) } else { again };
         }
         if ending == Ending::Succeeded {
             if matches!(phase, Phase::GoingBack | Phase::Withdrawn) {
@@ -196,7 +198,7 @@
         self.settle(host);
     }
 
-    pub fn peer(&mut self, host: &mut dyn Host, from: Peer, words: &[u8]) {
+    pub fn on_peer_message(&mut self, host: &mut dyn Host, from: Peer, words: &[u8]) {
         self.look_up(host);
         let known = |(build, _): &(Build, Said)| self.judged == Some(*build) && from.0 < self.said.len();
         if let Some((_, said)) = Said::decode(words).filter(known) {
@@ -207,14 +209,14 @@
 
     /// Who hears the bits from now on, and whether this sidecar is the one that may act on their sum: where
     /// one leads, the host knows.
-    pub fn leadership(&mut self, host: &mut dyn Host, voters: Vec<Peer>, acts: bool) {
+    pub fn on_leadership(&mut self, host: &mut dyn Host, voters: Vec<Peer>, acts: bool) {
         // Who is new among them has heard nothing yet.
         self.spoken_at = if self.voters == voters { self.spoken_at } else { Tenths(0) };
         (self.voters, self.turn) = (voters, acts.then_some(0));
         self.settle(host);
     }
 
-    pub fn objection(&mut self, host: &mut dyn Host, pod: PodId, _op: Op, since: Tenths) {
+    pub fn on_objection(&mut self, host: &mut dyn Host, pod: PodId, _op: Op, since: Tenths) {
         self.look_up(host);
         // Silence about a pod's first answers is no evidence, so a word against them is none either.
         let ran = self.pods.at(pod, self.now - since - FRESH).map(|p| self.pods.build[p]);
@@ -227,7 +229,7 @@
         self.settle(host);
     }
 
-    pub fn wake(&mut self, host: &mut dyn Host, _token: u64) {
+    pub fn on_timer(&mut self, host: &mut dyn Host, _token: u64) {
         self.settle(host);
     }
 
@@ -245,7 +247,7 @@
         }
         while RULES.iter().any(|rule| rule(self, host)) {}
         // Only the spare is kept over: so the cap holds in any window.
-        self.allowance.iter_mut().for_each(|a| *a = a.min(self.facts.spare));
+        self.allowance.iter_mut().for_each(|a| *a = a.min(self.facts.cap_burst));
     }
 
     fn answer_what_is_due(&mut self, host: &mut dyn Host) -> bool {
@@ -265,7 +267,7 @@
         // One that was cut off its stuck pod has been paid for; elsewhere it may still be in time.
         let early = self.now < found.waits || found.sent.last().is_some_and(|s| !s.erred && !s.never_ran);
         let held = early && found.may_have_run().is_none();
-        let room = found.sent.len() < self.facts.dispatches_max && self.now < found.until;
+        let room = found.sent.len() < self.facts.max_dispatches && self.now < found.until;
         // A third pod would err too: the clients' own errors must not fill the fleet.
         let hope = found.sent.iter().filter(|s| s.erred).count() < 2 && self.may_send_again(found);
         let may = room && (found.sent.is_empty() || early && hope);
@@ -292,12 +294,12 @@
         let newest = self.trial.iter().map(|&p| self.pods.born[p]).max();
         let ready = newest.filter(|&b| b >= told.from).unwrap_or(told.from + ON_WAIT);
         let sure = [ERRED, SLOW].iter().all(|g| self.totals[*g] <= -((1.0 - ALPHA) / BETA).ln());
-        let heard = self.facts.sidecars < 2 || self.now < self.heard_at + SILENT_AFTER;
+        let heard = self.facts.sidecar_count < 2 || self.now < self.heard_at + SILENT_AFTER;
         // Where the earlier pods are gone already, waiting costs nothing, and only time can tell.
         let known = heard && self.seen >= 6 && !self.alone;
-        let early = self.facts.stage_min + Tenths::ms(700);
-        let wait = if sure && known { early } else { ON_WAIT.part(if known { 1.0 } else { 2.0 }) };
-        let open = told.phase == Phase::Trial && self.slow_spell != Some(true) && self.facts.votes_move;
+        let early = self.facts.min_stage_time + Tenths::ms(700);
+        let wait = if sure && known { early } else { ON_WAIT.scale(if known { 1.0 } else { 2.0 }) };
+        let open = told.phase == Phase::Trial && self.slow_spell != Some(true) && self.facts.votes_advance;
         let melts = (0..GROUNDS).any(|g| self.totals[g] > (self.best[g] + BAND / 2.0).min(0.0));
         if !open || melts || self.now < ready.max(self.awake_since) + wait {
             self.on_since = None;
@@ -311,29 +313,29 @@
         let Some(build) = self.judged.filter(|_| self.now >= self.speak_at) else { return false };
         self.speak_at = self.now + SPEAK_EVERY;
         self.sum_up();
-        let repeat = SPEAK_EVERY.part((self.facts.sidecars as f64 / BANDS_FULL).max(1.0));
+        let repeat = SPEAK_EVERY.scale((self.facts.sidecar_count as f64 / BANDS_FULL).max(1.0));
         if self.mine.says_the_same(&self.spoken) && self.now < self.spoken_at + repeat {
             return false;
         }
         (self.spoken, self.spoken_at) = (self.mine, self.now);
-        if self.facts.peers && self.mine.seen > 0 {
+        if self.facts.peer_messages && self.mine.seen > 0 {
             let words = self.mine.encode(build);
-            for peer in self.voters.iter().filter(|p| **p != self.facts.me) {
-                host.tell(Some(*peer), &words);
+            for peer in self.voters.iter().filter(|p| **p != self.facts.own_peer) {
+                host.send_to_peer(Some(*peer), &words);
             }
         }
-        self.count_bits(self.facts.me, self.mine);
+        self.count_bits(self.facts.own_peer, self.mine);
         true
     }
 
     fn keep_awake(&mut self, host: &mut dyn Host) -> bool {
-        self.next_wake().map(|delay| host.wake_in(delay, 0)).is_some()
+        self.next_wake().map(|delay| host.set_timer(delay, 0)).is_some()
     }
 
     fn give_up(&mut self, host: &mut dyn Host, inv: &InvId) {
         let found = &self.invs[inv];
         if found.harmless(&self.facts.operations[found.op.0]) && self.now < found.until {
-            host.throttle(inv, self.facts.stay_away_max);
+            host.throttle(inv, self.facts.max_retry_after);
         } else {
             host.terminate(inv);
         }
@@ -342,10 +344,10 @@
 
     fn may_send_again(&self, inv: &Inv) -> bool {
         let op = &self.facts.operations[inv.op.0];
-        match (inv.may_have_run(), op.repeat) {
-            (None, _) | (_, Repeat::Idempotent) => true,
-            (Some((_, at)), Repeat::Fingerprinted) => self.now < at + op.repeat_window.part(0.95),
-            (Some(_), Repeat::SideEffecting) => false,
+        match (inv.may_have_run(), op.retry_safety) {
+            (None, _) | (_, RetrySafety::Idempotent) => true,
+            (Some((_, at)), RetrySafety::Fingerprinted) => self.now < at + op.dedup_window.scale(0.95),
+            (Some(_), RetrySafety::SideEffecting) => false,
         }
     }
 
@@ -353,17 +355,17 @@
     fn look_again(&mut self, host: &mut dyn Host, inv: &InvId) {
         let found = &self.invs[inv];
         let Some(nth) = found.sent.iter().position(|s| !s.over) else { return };
-        let left = found.sent.len() < self.facts.dispatches_max && self.spare_sends >= 1.0;
+        let left = found.sent.len() < self.facts.max_dispatches && self.spare_sends >= 1.0;
         // Where many are late, what looks stuck is a queue, and the pod works on at what is cut off.
         let stuck = self.tardy[0] < TARDY / 2.0 && self.stuck(found.sent[nth].pod);
         if !stuck || !left || !self.may_send_again(found) {
-            let later = self.now + self.facts.operations[found.op.0].slo_time.part(0.2);
+            let later = self.now + self.facts.operations[found.op.0].slo_time.scale(0.2);
             return self.due.push(later, inv);
         }
         self.spare_sends -= 1.0;
-        match self.facts.second_copies.then(|| self.choose(inv)).flatten() {
+        match self.facts.parallel_dispatches.then(|| self.choose(inv)).flatten() {
             Some(pod) => self.send(host, inv, pod),
-            None if self.facts.may_cancel && !self.facts.second_copies => host.cancel(inv, nth),
+            None if self.facts.cancel_allowed && !self.facts.parallel_dispatches => host.cancel(inv, nth),
             None => {}
         }
     }
@@ -406,8 +408,8 @@
     fn trial_open(&self, op: Op) -> bool {
         let (phase, stage) = self.news().map_or((Phase::Trial, 0), |t| (t.phase, t.stage));
         let allowed = self.cap() > 0.0 && self.allowance[self.bucket(op)] >= 1.0;
-        let barred =
-            stage < self.facts.guarded_stages && self.facts.operations[op.0].repeat != Repeat::Idempotent;
+        let barred = stage < self.facts.idempotent_only_stages
+            && self.facts.operations[op.0].retry_safety != RetrySafety::Idempotent;
         matches!(phase, Phase::Trial | Phase::GoingBack) && allowed && !barred
     }
 
@@ -415,10 +417,11 @@
         let found = &self.invs[inv];
         let (op, first) = (found.op, found.sent.is_empty());
         let tried: Vec<usize> = found.sent.iter().map(|s| s.pod).collect();
-        let (repeat, group) = (self.facts.operations[op.0].repeat, self.facts.operations[op.0].group);
-        let ran_at = found.may_have_run().filter(|_| repeat == Repeat::Fingerprinted).map(|(p, _)| p);
-        let floor = found.key.and_then(|k| self.bound.get(&k).copied()).filter(|_| self.facts.one_way_keys);
-        let chosen_key = match found.key.filter(|_| self.facts.one_way_keys) {
+        let (repeat, group) =
+            (self.facts.operations[op.0].retry_safety, self.facts.operations[op.0].dedup_scope);
+        let ran_at = found.may_have_run().filter(|_| repeat == RetrySafety::Fingerprinted).map(|(p, _)| p);
+        let floor = found.key.and_then(|k| self.bound.get(&k).copied()).filter(|_| self.facts.sticky_keys);
+        let chosen_key = match found.key.filter(|_| self.facts.sticky_keys) {
             Some(key) => key.lane(LANES) < self.lanes_open,
             None => self.rng.f64() < self.part,
         };
@@ -454,7 +457,7 @@
 
     fn pick(&mut self, trial: bool, tried: &[usize], ok: Fit) -> Option<usize> {
         let (n, f) = (self.two(trial, true, tried, ok), self.two(trial, false, tried, ok));
-        let lead = CROSSING_LEAD * self.facts.crossing_price;
+        let lead = CROSSING_LEAD * self.facts.cross_zone_price;
         match (n, f) {
             (Some(n), Some(f)) if self.load(f) <= self.load(n) && self.rng.f64() < self.spill => Some(f),
             (Some(n), Some(f)) if self.load(n) > (1.0 + lead) * self.load(f) + lead => Some(f),
@@ -498,18 +501,18 @@
 
     fn queue(&self, p: usize) -> f64 {
         // A report ages: a pod once found busy and avoided since would never be found idle again.
-        let age = (self.now - self.pods.heard[p]).secs().max(0.0);
+        let age = (self.now - self.pods.heard[p]).as_secs().max(0.0);
         let others = self.pods.others[p] / (1.0 + 6.0 * age);
         (self.pods.held[p] as f64 + self.pods.lost[p] + others) / self.power(p)
     }
 
     fn cold_rate(&self, p: usize) -> f64 {
-        0.6 * self.facts.fall_multiple * self.warmth(p) * self.rate_a_pod
+        0.6 * self.facts.overload_multiple * self.warmth(p) * self.rate_a_pod
     }
 
     fn pressure(&self, p: usize) -> f64 {
         let (level, at) = self.pods.pressed[p];
-        (level - self.cold_rate(p) * (self.now - at).secs()).max(0.0)
+        (level - self.cold_rate(p) * (self.now - at).as_secs()).max(0.0)
     }
 
     /// Against pushing a cold pod over, which looks idle to all: each keeps to its part of what a warm pod
@@ -521,7 +524,7 @@
 
     fn stuck(&self, p: usize) -> bool {
         let usual = self.usual.iter().map(|u| u.ms).fold(0.0, f64::max);
-        let patience = Tenths::floor((usual * 3.0).clamp(150.0, 1000.0));
+        let patience = Tenths::floor_ms((usual * 3.0).clamp(150.0, 1000.0));
         self.pods.held[p] >= 2 && self.now - self.pods.heard[p] > patience
     }
 
@@ -566,7 +569,7 @@
         let judged = Some(self.pods.build[p]) == self.judged;
         // What was cut off for looking stuck is slow; else who never answers is never found so.
         let cut = judged && ending == Ending::Cancelled;
-        let hasty = ending == Ending::TimedOut && took < self.facts.operations[o].slo_time.part(0.5);
+        let hasty = ending == Ending::TimedOut && took < self.facts.operations[o].slo_time.scale(0.5);
         if hasty || !(counts || cut) || judged && age < FRESH {
             return;
         }
@@ -595,13 +598,13 @@
             let few = met / 4 + usize::from(met < own.len());
             let others = ill && struck(SICK) <= met.max(2) / 2 || struck(SICK / 16.0) <= few;
             // What sets in long after a release is not the build's, and no earlier pod is left to show it.
-            let old = released && self.told.is_some_and(|t| self.now > t.from + ON_WAIT.part(2.0));
+            let old = released && self.told.is_some_and(|t| self.now > t.from + ON_WAIT.scale(2.0));
             let excused = old || erred && others;
             let known = self.erring[o].share.clamp(P0_FLOOR, 0.9);
             let weight = if excused || cut { 0.0 } else { ratio(erred, known, known + P1_ABOVE) };
             // Beside no answers or near idle pods, or near the limit, a slow build is like a slow hour.
             let fresh = even && self.tardy[0] < TARDY / 2.0 && self.now < usual.at + SILENT_AFTER;
-            let ripe = !erred && !released && age >= self.facts.warm_after;
+            let ripe = !erred && !released && age >= self.facts.warmup_time;
             if ripe && fresh && usual.answers >= P0_TRUSTED_AFTER {
                 let doubt = 0.5 / f64::from(usual.answers.min(64)).sqrt(); // small sidecars know little
                 let p0 = (usual.slow_share + doubt).clamp(0.05, 0.6);
@@ -611,7 +614,7 @@
             self.feed(ERRED, weight);
             let right = f64::from(!erred && !cut) * NO_FLAG_WEIGHT * WRONG_SHARE * self.facts.flag_share;
             self.feed(WRONG, -right);
-        } else if age >= self.facts.warm_after {
+        } else if age >= self.facts.warmup_time {
             self.erring[o].note(erred, 256.0);
             if !erred {
                 self.succeeded += 1.0;
@@ -635,7 +638,7 @@
     fn sum_up(&mut self) {
         let (a, b) = (((1.0 - ALPHA) / BETA).ln(), ((1.0 - BETA) / ALPHA).ln());
         let mut gathered = std::mem::take(&mut self.gathered);
-        gathered[SHARED] = self.of_one_spell(gathered[SHARED] / self.facts.sidecars as f64);
+        gathered[SHARED] = self.of_one_spell(gathered[SHARED] / self.facts.sidecar_count as f64);
         for (g, news) in gathered.into_iter().enumerate() {
             // Flags come late and few, a slow fleet is a matter of the moment: neither gathers credit.
             let floor = [-CREDIT * a, -CREDIT * a, -BAND, 0.0][g];
@@ -676,7 +679,7 @@
         if self.now < self.fleet_at + Tenths::ms(1000) || self.fleet.1 < 5.0 {
             return;
         }
-        let secs = (self.now - self.fleet_at).secs().min(3.0);
+        let secs = (self.now - self.fleet_at).as_secs().min(3.0);
         self.fleet_at = self.now;
         let (slow, all) = std::mem::take(&mut self.fleet);
         if calm {
@@ -700,8 +703,8 @@
         let tardy = match ending {
             _ if self.now == self.stood_still => return,
             // The client's haste: what had no time to be tardy tells nothing by being quick either.
-            Ending::Succeeded | Ending::TimedOut if wait < slo.part(0.5) => return,
-            Ending::Succeeded => took > slo.part(0.5),
+            Ending::Succeeded | Ending::TimedOut if wait < slo.scale(0.5) => return,
+            Ending::Succeeded => took > slo.scale(0.5),
             Ending::TimedOut | Ending::Full | Ending::NoConnection => true,
             _ => return,
         };
@@ -742,25 +745,25 @@
     }
 
     fn grade(&mut self, op: Op) -> f64 {
-        let work = if self.facts.value_by_work { 1.0 } else { self.usual[op.0].ms.max(1.0) };
+        let work = if self.facts.billed_value_per_work { 1.0 } else { self.usual[op.0].ms.max(1.0) };
         let density = self.facts.operations[op.0].billed_value / work;
         self.value_density += (density - self.value_density) * 0.02;
         (density / self.value_density.max(1e-9)).sqrt().clamp(0.7, 1.3)
     }
 
     fn pulse(&mut self) {
-        let dt = (self.now - self.pulse_at + PULSE).secs().max(0.05);
+        let dt = (self.now - self.pulse_at + PULSE).as_secs().max(0.05);
         self.pulse_at = self.now + PULSE;
         self.ready.append(&mut self.waiting);
         // Small sidecars keep to few pods, or they would know none and open a connection for each dispatch.
         self.few = self.rate.max(6.0) as usize;
-        let up = (self.now - self.awake_since).secs().max(1.0);
+        let up = (self.now - self.awake_since).as_secs().max(1.0);
         self.rate += (self.succeeded_since_pulse / dt - self.rate) * (dt / 15.0).max(dt / up).min(1.0);
         self.succeeded_since_pulse = 0.0;
         self.measure();
         self.part = self.trial_part();
         // Traffic may have moved here, or the zone be ill: small sidecars see no lead but in time.
-        let gain = self.tardy[0] - self.tardy[1] - self.facts.crossing_price - 0.05;
+        let gain = self.tardy[0] - self.tardy[1] - self.facts.cross_zone_price - 0.05;
         self.spill = (self.spill + 0.5 * gain * dt).clamp(0.0, 0.8);
         self.tardy[1] *= 1.0 - 0.1 * dt;
         let well = |p: &&usize| self.pods.lame[**p] < SICK / 2.0;
@@ -774,7 +777,7 @@
         self.lost = self.pods.ebb((-dt * 500.0 / usual).exp());
         self.most_open *= 1.0 - 0.15 * dt;
         self.weigh_fleet();
-        if self.facts.one_way_keys {
+        if self.facts.sticky_keys {
             let share = (0.8 * self.cap()).min(0.9 * self.part);
             self.lanes_open = if share < 0.8 { self.lanes_within(share) } else { LANES };
             self.lanes.iter_mut().for_each(|n| *n *= 0.995);
@@ -789,7 +792,7 @@
     }
 
     fn voting(&self) -> Option<(Tenths, Told)> {
-        Some((Tenths::ms(1500).part(self.turn? as f64), self.news()?))
+        Some((Tenths::ms(1500).scale(self.turn? as f64), self.news()?))
     }
 
     fn cast(&mut self, host: &mut dyn Host, told: Told, verdict: Verdict) -> bool {
@@ -797,7 +800,7 @@
         if self.ballot.is_some_and(|(b, s, v, until)| (b, s, v) == vote && self.now < until) {
             return false;
         }
-        self.ballot = Some((told.build, told.stage, verdict, self.now + self.facts.vote_wait));
+        self.ballot = Some((told.build, told.stage, verdict, self.now + self.facts.vote_timeout));
         host.log(&format!(
             "vote {verdict:?} on build {} stage {}: erred/slow/wrong/shared {:.1?}, {} outcomes known",
             told.build.0, told.stage, self.totals, self.seen
--- a/crates/stagepond/src/host.rs
+++ b/crates/stagepond/src/host.rs
@@ -14,17 +14,17 @@
     pub const fn ms(ms: i64) -> Self {
         Tenths(ms * 10)
     }
-    pub fn floor(ms: f64) -> Self {
+    pub fn floor_ms(ms: f64) -> Self {
         Tenths((ms * 10.0).floor() as i64)
     }
-    pub fn ceil(ms: f64) -> Self {
+    pub fn ceil_ms(ms: f64) -> Self {
         Tenths((ms * 10.0).ceil() as i64)
     }
-    pub fn secs(self) -> f64 {
+    pub fn as_secs(self) -> f64 {
         self.0 as f64 / 10_000.0
     }
-    pub fn part(self, share: f64) -> Self {
-        Tenths((self.0 as f64 * share).floor() as i64)
+    pub fn scale(self, factor: f64) -> Self {
+        Tenths((self.0 as f64 * factor).floor() as i64)
     }
 }
 
@@ -67,20 +67,20 @@
 
 /// Position among the machine kinds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Kind(pub usize);
+pub struct MachineKind(pub usize);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Cell(pub u32);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum RetrySafety {
     Idempotent,
     Fingerprinted,
     SideEffecting,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     All,
     Zone,
     Cell,
@@ -99,7 +99,7 @@
 }
 
 impl Ending {
-    pub fn proves_unrun(self) -> bool {
+    pub fn proves_not_executed(self) -> bool {
         matches!(self, Ending::Full | Ending::NoConnection | Ending::Moot)
     }
 }
@@ -128,40 +128,40 @@
 
 #[derive(Clone, Debug)]
 pub struct Operation {
-    pub repeat: Repeat,
-    pub group: Group,
+    pub retry_safety: RetrySafety,
+    pub dedup_scope: DedupScope,
     pub slo_time: Tenths,
-    pub repeat_window: Tenths,
+    pub dedup_window: Tenths,
     pub billed_value: f64,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct Facts {
-    pub me: Peer,
-    pub sidecars: usize,
+    pub own_peer: Peer,
+    pub sidecar_count: usize,
     pub zone: Zone,
-    pub kinds: usize,
+    pub machine_kinds: usize,
     pub operations: Vec<Operation>,
-    pub value_by_work: bool,
-    pub dispatches_max: usize,
-    pub second_copies: bool,
-    pub may_cancel: bool,
-    pub peers: bool,
-    pub crossing_price: f64,
-    pub stay_away_max: Tenths,
-    pub first_cap: f64,
-    pub spare: f64,
-    pub cap_by_operation: bool,
-    pub guarded_stages: u32,
-    pub one_way_keys: bool,
-    pub votes_move: bool,
-    pub stage_min: Tenths,
-    pub vote_life: Tenths,
-    pub vote_wait: Tenths,
+    pub billed_value_per_work: bool,
+    pub max_dispatches: usize,
+    pub parallel_dispatches: bool,
+    pub cancel_allowed: bool,
+    pub peer_messages: bool,
+    pub cross_zone_price: f64,
+    pub max_retry_after: Tenths,
+    pub initial_cap: f64,
+    pub cap_burst: f64,
+    pub cap_per_operation: bool,
+    pub idempotent_only_stages: u32,
+    pub sticky_keys: bool,
+    pub votes_advance: bool,
+    pub min_stage_time: Tenths,
+    pub vote_ttl: Tenths,
+    pub vote_timeout: Tenths,
     pub flag_share: f64,
-    pub cold_share: f64,
-    pub warm_after: Tenths,
-    pub fall_multiple: f64,
+    pub cold_capacity_share: f64,
+    pub warmup_time: Tenths,
+    pub overload_multiple: f64,
     pub must_subscribe: bool,
 }
 
@@ -169,16 +169,16 @@
 pub trait Host {
     fn now(&self) -> Tenths;
     fn dispatch(&mut self, inv: &InvId, pod: PodId, until: Tenths);
-    fn throttle(&mut self, inv: &InvId, stay_away: Tenths);
+    fn throttle(&mut self, inv: &InvId, retry_after: Tenths);
     fn terminate(&mut self, inv: &InvId);
     fn cancel(&mut self, inv: &InvId, nth: usize);
-    fn wake_in(&mut self, delay: Tenths, token: u64);
+    fn set_timer(&mut self, delay: Tenths, token: u64);
     fn probe(&mut self, pod: PodId);
-    fn drop_idle(&mut self, pod: PodId);
-    fn tell(&mut self, to: Option<Peer>, words: &[u8]);
+    fn close_idle_connections(&mut self, pod: PodId);
+    fn send_to_peer(&mut self, to: Option<Peer>, payload: &[u8]);
     fn vote(&mut self, build: Build, stage: u32, verdict: Verdict);
     fn withdraw_vote(&mut self, build: Build, stage: u32);
     fn subscribe(&mut self, wanted: bool);
-    fn reload(&mut self);
-    fn log(&mut self, words: &str);
+    fn reload_pod_list(&mut self);
+    fn log(&mut self, message: &str);
 }
--- a/crates/stagepond/src/state.rs
+++ b/crates/stagepond/src/state.rs
@@ -16,7 +16,7 @@
 pub struct Pods {
     pub index: HashMap<PodId, usize>,
     pub id: Vec<PodId>,
-    pub kind: Vec<Kind>,
+    pub kind: Vec<MachineKind>,
     pub zone: Vec<Zone>,
     pub cell: Vec<Cell>,
     pub weight: Vec<f64>,
@@ -45,8 +45,8 @@
 impl Pods {
     #[allow(clippy::too_many_arguments)]
     pub fn entry(
-        &mut self, now: Tenths, id: PodId, kind: Kind, zone: Zone, cell: Cell, born: Tenths, build: Build,
-        pressed: f64,
+        &mut self, now: Tenths, id: PodId, kind: MachineKind, zone: Zone, cell: Cell, born: Tenths,
+        build: Build, pressed: f64,
     ) -> usize {
         if let Some(&old) = self.index.get(&id) {
             if (self.born[old], self.build[old]) == (born, build) {
@@ -107,11 +107,11 @@
         (0..self.id.len()).filter(|&p| self.up[p])
     }
 
-    pub fn grouped(&self, group: Group, p: usize, q: usize) -> bool {
+    pub fn grouped(&self, group: DedupScope, p: usize, q: usize) -> bool {
         match group {
-            Group::All => true,
-            Group::Zone => self.zone[p] == self.zone[q],
-            Group::Cell => self.cell[p] == self.cell[q],
+            DedupScope::All => true,
+            DedupScope::Zone => self.zone[p] == self.zone[q],
+            DedupScope::Cell => self.cell[p] == self.cell[q],
         }
     }
 
@@ -154,7 +154,7 @@
     /// Takes note of how a dispatch ended: its pod and time, and the other pods at which earlier ones erred.
     pub fn end(&mut self, nth: usize, ending: Ending) -> Option<(usize, Tenths, Vec<usize>)> {
         let sent = self.sent.get_mut(nth).filter(|s| !s.over)?;
-        (sent.over, sent.never_ran) = (true, ending.proves_unrun());
+        (sent.over, sent.never_ran) = (true, ending.proves_not_executed());
         sent.erred = matches!(ending, Ending::Error | Ending::Reset);
         let (pod, at) = (sent.pod, sent.at);
         let before = self.sent[..nth].iter().filter(|s| s.erred && s.pod != pod).map(|s| s.pod);
@@ -163,8 +163,8 @@
 
     /// Whether repeating it can do no harm, as far as is known.
     pub fn harmless(&self, op: &Operation) -> bool {
-        let dropped = op.repeat == Repeat::Fingerprinted && op.group == Group::All;
-        self.may_have_run().is_none() || op.repeat == Repeat::Idempotent || dropped
+        let dropped = op.retry_safety == RetrySafety::Fingerprinted && op.dedup_scope == DedupScope::All;
+        self.may_have_run().is_none() || op.retry_safety == RetrySafety::Idempotent || dropped
     }
 
     /// While the client waits: the operation, and the pod and time of a last dispatch that is still out.
@@ -434,7 +434,7 @@
     }
 
     pub(crate) fn bucket(&self, op: Op) -> usize {
-        op.0 * usize::from(self.facts.cap_by_operation)
+        op.0 * usize::from(self.facts.cap_per_operation)
     }
 
     /// Nothing is known yet of the build now under judgement.
@@ -443,7 +443,7 @@
         (self.sums, self.totals) = ([0.0; GROUNDS], [0.0; GROUNDS]);
         (self.gathered, self.best) = ([0.0; GROUNDS], [0.0; GROUNDS]);
         (self.fleet, self.slowing, self.slow_spell) = ((0.0, 0.0), 0.0, None);
-        self.said = vec![Said::default(); self.facts.sidecars];
+        self.said = vec![Said::default(); self.facts.sidecar_count];
         self.mine = Said { life: self.mine.life, ..Said::default() };
         (self.spoken, self.seen) = (self.mine, 0);
         self.back_since = None;
@@ -467,7 +467,7 @@
     }
 
     pub(crate) fn cap(&self) -> f64 {
-        self.news().map_or(self.facts.first_cap, |t| t.cap)
+        self.news().map_or(self.facts.initial_cap, |t| t.cap)
     }
 
     /// Figures kept so that no dispatch has to go through the fleet.
@@ -490,21 +490,21 @@
     }
 
     pub(crate) fn warmth(&self, p: usize) -> f64 {
-        let age = (self.now - self.pods.cold_at[p]).0 as f64 / self.facts.warm_after.0.max(1) as f64;
-        (self.facts.cold_share + (1.0 - self.facts.cold_share) * age.max(0.0)).min(1.0)
+        let age = (self.now - self.pods.cold_at[p]).0 as f64 / self.facts.warmup_time.0.max(1) as f64;
+        (self.facts.cold_capacity_share + (1.0 - self.facts.cold_capacity_share) * age.max(0.0)).min(1.0)
     }
 
     pub(crate) fn count_bits(&mut self, from: Peer, said: Said) {
         let (bits, seen) = said.since(&self.said[from.0]);
         self.seen += seen;
-        if from != self.facts.me {
+        if from != self.facts.own_peer {
             self.heard_at = self.now;
         }
         self.gathered.iter_mut().zip(bits).for_each(|(gathered, bits)| *gathered += self.band * bits);
         self.said[from.0] = said;
     }
 
-    pub fn list_begins(&mut self, whole: bool) {
+    pub fn begin_pod_list(&mut self, whole: bool) {
         self.pods.listed.iter_mut().for_each(|listed| *listed = !whole);
     }
 
@@ -533,7 +533,7 @@
     }
 
     pub(crate) fn bind(&mut self, key: Option<KeyId>, build: Build) {
-        if let Some(key) = key.filter(|_| self.facts.one_way_keys) {
+        if let Some(key) = key.filter(|_| self.facts.sticky_keys) {
             let to = self.bound.entry(key).or_insert(build);
             *to = (*to).max(build);
         }
@@ -580,7 +580,7 @@
     impl Pods {
         fn list(&mut self, id: u32, now: Tenths) {
             self.listed.iter_mut().for_each(|listed| *listed = false);
-            let p = self.entry(now, PodId(id), Kind(0), Zone(0), Cell(0), now, Build(1), 0.5);
+            let p = self.entry(now, PodId(id), MachineKind(0), Zone(0), Cell(0), now, Build(1), 0.5);
             (self.up[p], self.listed[p]) = (true, true);
             self.drop_unlisted(now);
         }
