--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -1,340 +1,487 @@
-//! Every decision of one sidecar. The interface (ids, time, `Facts`, `trait Host`) is in `host.rs`.
-//! Build a `Balancer`, call `started` once, then one entry method for each input; effects go out before it
-//! returns. A list is `list_begins`, a `pod` for each row, `list_ends`. After each input the `RULES` are gone
-//! through in order until none fires. Equal inputs give equal effects.
+//! All decisions of one sidecar: routing, throttling, retries and the sequential test of a release.
+//!
+//! The interface (identifiers, time, [`Facts`], [`Host`]) is in `host.rs`. Create a [`Balancer`], call
+//! [`start`](Balancer::start) once, then one entry method for each input; its effects take place before it
+//! returns. A pod list is a call of [`begin_pod_list`](Balancer::begin_pod_list), one of
+//! [`on_pod`](Balancer::on_pod) for each entry and one of [`end_pod_list`](Balancer::end_pod_list). After
+//! each input the `RULES` are tried in order until none applies. Equal inputs give equal effects.
+//!
+//! The sequential test is the D-SPRT of G. Fellouris and G. V. Moustakides, "Decentralized Sequential
+//! Hypothesis Testing using Asynchronous Communication".
 
 #![allow(clippy::too_many_arguments)]
 
 pub use crate::state::Balancer;
 use crate::{host::*, state::*};
 
-// The test, after the paper; the values are the design page's defaults unless a comment tells why not.
+// The sequential test. Values are the paper's or the design page's defaults unless a comment says why not.
+
+/// Half width of the band (the paper's Delta): unsent evidence beyond it is sent as one bit.
 const BAND: f64 = 2.0;
-// All that may lie unsent under the bands together stays near Wald's thresholds, however many sidecars.
-const BANDS_FULL: f64 = 5.0;
+/// Number of sidecars up to which each has the full band. Beyond it the band shrinks, so that all evidence
+/// that may remain unsent stays near Wald's thresholds.
+const FULL_BAND_SIDECARS: f64 = 5.0;
+/// Probability of rolling back a good build.
 const ALPHA: f64 = 0.01;
+/// Probability of missing a bad build.
 const BETA: f64 = 0.05;
-const P0_START: f64 = 0.02;
-const P0_FLOOR: f64 = 0.01;
-const P0_TRUSTED_AFTER: u32 = 20;
-const P1_ABOVE: f64 = 0.05;
-const VOTERS: usize = 3;
-const CREDIT: f64 = 1.5;
-const FRESH: Tenths = Tenths::ms(3000);
-const ON_WAIT: Tenths = Tenths::ms(4000);
-// "Late" alone never blames a slow build on a quiet day; and slow answers come in runs.
+/// Failure share assumed for the earlier build before any outcome is known.
+const INITIAL_P0: f64 = 0.02;
+const MIN_P0: f64 = 0.01;
+/// Answers from which a baseline is trusted.
+const MIN_BASELINE_ANSWERS: u32 = 20;
+/// A bad build fails by this share more often than the earlier one.
+const FAILURE_INCREASE: f64 = 0.05;
+/// Without a leader the sidecars with the lowest indexes vote.
+const MAX_VOTERS: usize = 3;
+/// Each voter waits this much longer than the one before it.
+const VOTER_DELAY: Tenths = Tenths::ms(1500);
+/// Lower bound of the error and latency totals, as a multiple of the advance threshold.
+const MAX_CREDIT: f64 = 1.5;
+/// Answers of a pod younger than this are no evidence.
+const MIN_POD_AGE: Tenths = Tenths::ms(3000);
+/// Time from the start of a stage's pods to a vote to advance, if the evidence is not conclusive.
+const ADVANCE_WAIT: Tenths = Tenths::ms(4000);
+/// A conclusive vote to advance is cast this long after the minimum stage time.
+const CONCLUSIVE_ADVANCE_DELAY: Tenths = Tenths::ms(700);
+const MIN_OUTCOMES_TO_ADVANCE: u32 = 6;
+/// An answer is slow if it takes longer than this quantile of the earlier build's answer times. A fixed limit
+/// such as the SLO time would never show a slow build on a quiet day.
 const SLOW_QUANTILE: f64 = 0.8;
-// What the logarithm of a time spread like an exponential asks for: 1 over its density at that quantile.
-const MARK_GAIN: f64 = 3.0;
-const SLOW_ABOVE: f64 = 0.3;
+/// Step size for tracking the logarithm of that quantile: the inverse of the density there, for answer times
+/// with an exponential tail.
+const QUANTILE_GAIN: f64 = 3.0;
+/// A bad build is slow by this share more often than the earlier one.
+const SLOW_INCREASE: f64 = 0.3;
+/// Slow answers come in runs, so each counts for less than an independent observation.
 const SLOW_WEIGHT: f64 = 0.3;
-const SHARED_FROM: f64 = 0.2;
-const SLIGHT: f64 = 0.1; // a part of the pods that can't slow a fleet yet
-const WRONG_SHARE: f64 = 0.06;
-const FLAG_WEIGHT: f64 = 0.85; // some are false
-const NO_FLAG_WEIGHT: f64 = 0.7; // reports are seconds late, silence is less than a finding
-
-const PULSE: Tenths = Tenths::ms(50);
-const SPEAK_EVERY: Tenths = Tenths::ms(250);
-const SILENT_AFTER: Tenths = Tenths::ms(2000);
-const LANES: usize = 64;
-const PATIENCE: f64 = 0.5; // of the SLO time: then what is held is given up, what is out looked at again
-const CROSSING_LEAD: f64 = 6.0; // how much busier near pods must be, for each part that a crossing costs
-const TARDY: f64 = 0.45;
-const SICK: f64 = 0.2;
-
-type Fit<'a> = &'a dyn Fn(&Balancer, usize) -> bool;
+/// Increase of the fleet's share of slow answers from which the fleet counts as slowed by the build.
+const FLEET_SLOW_INCREASE: f64 = 0.2;
+const FLEET_SAMPLE_INTERVAL: Tenths = Tenths::ms(1000);
+/// A slow period counts against the build only if it begins within this time of the start of a stage.
+const SLOW_PERIOD_START_LIMIT: Tenths = Tenths::ms(7000);
+/// Time from the begin of a slow period until it is detected.
+const SLOW_PERIOD_DETECTION_TIME: Tenths = Tenths::ms(2000);
+/// A build with a smaller share of the pods cannot slow the whole fleet yet.
+const MIN_POD_SHARE_TO_SLOW_FLEET: f64 = 0.1;
+/// Share of wrong answers of a bad build.
+const WRONG_ANSWER_SHARE: f64 = 0.06;
+/// Weight of an objection; below one because some are false.
+const OBJECTION_WEIGHT: f64 = 0.85;
+/// Weight of an answer without objection; below one because objections arrive seconds later, so silence
+/// proves less than an objection does.
+const NO_OBJECTION_WEIGHT: f64 = 0.7;
+
+const TICK_INTERVAL: Tenths = Tenths::ms(50);
+/// A tick that comes later than this shows that the sidecar itself was stalled.
+const MAX_TICK_DELAY: Tenths = Tenths::ms(200);
+const BROADCAST_INTERVAL: Tenths = Tenths::ms(250);
+/// Evidence of peers and answers of the earlier build are out of date after this time.
+const STALE_AFTER: Tenths = Tenths::ms(2000);
+/// Number of buckets into which keys are hashed.
+const KEY_BUCKETS: usize = 64;
+/// After this share of the SLO time an invocation is no longer held, and a dispatch in flight is checked.
+const HOLD_SHARE: f64 = 0.5;
+/// An answer is late after this share of the SLO time.
+const LATE_AFTER: f64 = 0.5;
+/// How much more loaded near pods must be, for each unit of the cross-zone price, before a far pod is taken.
+const CROSS_ZONE_LOAD_MARGIN: f64 = 6.0;
+/// Share of late answers above which the fleet counts as full.
+const MAX_LATE_SHARE: f64 = 0.45;
+/// A pod whose share of errors or late answers exceeds the mean by this much is avoided.
+const UNHEALTHY_MARGIN: f64 = 0.2;
+/// Outcomes over which a pod's share of errors is averaged.
+const ERROR_SHARE_WINDOW: f64 = 12.0;
+/// Largest share of first dispatches that goes to the build on trial.
+const MAX_TRIAL_SHARE: f64 = 0.85;
+/// A dispatch in flight that was not replaced is checked again after this share of the SLO time.
+const RECHECK_SHARE: f64 = 0.2;
+/// Dispatches that replace a stuck one are limited to this share of the invocations, with a burst.
+const REPLACEMENT_SHARE: f64 = 0.1;
+const REPLACEMENT_BURST: f64 = 20.0;
+/// A fingerprint is repeated only within this share of its deduplication window.
+const DEDUP_WINDOW_SHARE: f64 = 0.95;
+/// Outcomes over which the failure share of the earlier build is averaged.
+const FAILURE_WINDOW: f64 = 256.0;
+/// Answers over which the answer times of the earlier build are averaged.
+const LATENCY_WINDOW: u32 = 64;
+/// Step size of the slow threshold and of the share of slow answers once many answers are known.
+const SLOW_THRESHOLD_STEP: f64 = 0.04;
+const INITIAL_CONCURRENCY_LIMIT: f64 = 64.0;
+/// Initial estimate of the objections against the earlier build: one in 250 answers.
+const INITIAL_OBJECTIONS: f64 = 1.0;
+const INITIAL_ANSWERS: f64 = 250.0;
+/// Start time of a pod whose start is unknown: long before any other, so the pod counts as warm.
+const UNKNOWN_START: Tenths = Tenths(i64::MIN / 4);
+
+type PodFilter<'a> = &'a dyn Fn(&Balancer, usize) -> bool;
+/// A rule returns whether it applied.
 type Rule = fn(&mut Balancer, &mut dyn Host) -> bool;
 
+/// Tried in this order; after a rule that applied, again from the first.
 const RULES: [Rule; 6] = [
-    Balancer::answer_what_is_due,
+    Balancer::check_next_due,
     Balancer::place_next,
-    Balancer::vote_back,
-    Balancer::vote_on,
-    Balancer::speak,
-    Balancer::keep_awake,
+    Balancer::vote_to_roll_back,
+    Balancer::vote_to_advance,
+    Balancer::broadcast_evidence,
+    Balancer::schedule_timer,
 ];
 
+/// Wald's upper threshold: evidence for rolling back.
+fn rollback_threshold() -> f64 {
+    ((1.0 - BETA) / ALPHA).ln()
+}
+
+/// Wald's lower threshold, as a positive number: evidence for advancing.
+fn advance_threshold() -> f64 {
+    ((1.0 - ALPHA) / BETA).ln()
+}
+
 impl Balancer {
+    /// Creates the module with the given settings; `seed` determines all its random choices.
     pub fn new(facts: Facts, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let ops = facts.operations.len();
-        // A sidecar that restarts amid a trial knows no time before it: slow is then what is late.
-        let late = |o: &Operation| o.slo_time.0 as f64 / 10.0;
-        let usual = |o| Usual { slow_share: 1.0 - SLOW_QUANTILE, mark_before: late(o), ..Usual::default() };
+        // A sidecar that restarts during a trial has no answers from before it, so that the SLO time
+        // takes the place of the threshold before the trial.
+        let latency_baseline = |op: &Operation| LatencyBaseline {
+            slow_share: 1.0 - SLOW_QUANTILE,
+            threshold_before_trial_ms: op.slo_time.0 as f64 / 10.0,
+            ..LatencyBaseline::default()
+        };
         Balancer {
-            band: BAND * (BANDS_FULL / facts.sidecar_count.max(1) as f64).min(1.0),
-            room: 64.0,
-            allowance: vec![0.0; if facts.cap_per_operation { ops } else { 1 }],
-            lanes: vec![0.0; LANES],
-            usual: (0..facts.machine_kinds.max(1)).flat_map(|_| facts.operations.iter().map(usual)).collect(),
-            erring: vec![Erring { share: P0_START }; ops],
-            flags: 1.0,
-            succeeded: 250.0,
-            mine: Said { life: rng.u16(..), ..Said::default() },
-            said: vec![Said::default(); facts.sidecar_count],
+            band: BAND * (FULL_BAND_SIDECARS / facts.sidecar_count.max(1) as f64).min(1.0),
+            concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
+            trial_tokens: vec![0.0; if facts.cap_per_operation { ops } else { 1 }],
+            key_bucket_traffic: vec![0.0; KEY_BUCKETS],
+            latency_baselines: (0..facts.machine_kinds.max(1))
+                .flat_map(|_| facts.operations.iter().map(latency_baseline))
+                .collect(),
+            failure_baselines: vec![FailureBaseline { share: INITIAL_P0 }; ops],
+            earlier_objections: INITIAL_OBJECTIONS,
+            earlier_answers: INITIAL_ANSWERS,
+            own_counts: EvidenceCounts { session: rng.u16(..), ..EvidenceCounts::default() },
+            peer_counts: vec![EvidenceCounts::default(); facts.sidecar_count],
             rng,
-            voters: (0..VOTERS.min(facts.sidecar_count)).map(Peer).collect(),
-            turn: Some(facts.own_peer.0).filter(|&rank| rank < VOTERS),
+            voters: (0..MAX_VOTERS.min(facts.sidecar_count)).map(Peer).collect(),
+            voter_rank: Some(facts.own_peer.0).filter(|&rank| rank < MAX_VOTERS),
             facts,
             ..Balancer::default()
         }
     }
 
+    /// Called once, before any input.
     pub fn start(&mut self, host: &mut dyn Host) {
-        (self.awake_since, self.pulse_at) = (host.now(), host.now());
+        self.started_at = host.now();
+        self.next_tick = host.now();
         self.on_pod_list_failure(host);
     }
 
+    /// An invocation arrived; its client waits until `until`.
     pub fn on_invocation(
         &mut self, host: &mut dyn Host, inv: InvId, key: Option<KeyId>, op: Op, until: Tenths,
     ) {
-        self.look_up(host);
-        self.spare_sends = (self.spare_sends + 0.1).min(20.0);
-        let (bucket, cap) = (self.bucket(op), self.cap());
-        self.allowance[bucket] += cap;
-        key.iter().for_each(|key| self.lanes[key.lane(LANES)] += 1.0);
-        // A sidecar with little traffic keeps within less than one invocation by chance.
-        let bound = self.room * self.grade(op) * self.hope(op, until - self.now);
-        if self.open as f64 + self.lost + self.rng.f64() >= bound {
-            self.pinched = true;
-            self.fleet = (self.fleet.0 + 1.0, self.fleet.1 + 1.0);
+        self.update_clock(host);
+        self.replacement_tokens = (self.replacement_tokens + REPLACEMENT_SHARE).min(REPLACEMENT_BURST);
+        let (bucket, cap) = (self.token_bucket(op), self.cap());
+        self.trial_tokens[bucket] += cap;
+        key.iter().for_each(|key| self.key_bucket_traffic[key.bucket(KEY_BUCKETS)] += 1.0);
+        let limit =
+            self.concurrency_limit * self.value_factor(op) * self.answer_probability(op, until - self.now);
+        // The random term lets a sidecar with little traffic keep to a limit below one invocation.
+        if self.open as f64 + self.abandoned + self.rng.f64() >= limit {
+            self.limit_reached = true;
+            self.fleet_sample = (self.fleet_sample.0 + 1.0, self.fleet_sample.1 + 1.0);
             host.throttle(&inv, self.facts.max_retry_after);
-            return self.settle(host);
+            return self.apply_rules(host);
         }
-        let waits = (self.now + self.facts.operations[op.0].slo_time.scale(PATIENCE)).min(until);
-        self.hold(inv, key, op, waits, until);
-        self.settle(host);
+        let slo_time = self.facts.operations[op.0].slo_time;
+        let hold_until = (self.now + slo_time.scale(HOLD_SHARE)).min(until);
+        self.add_invocation(inv, key, op, hold_until, until);
+        self.apply_rules(host);
     }
 
+    /// The dispatch number `nth` of `inv` ended after `took`. `last` says that the client has its final
+    /// answer; `in_flight` is what the pod reported to have in flight.
     pub fn on_outcome(
         &mut self, host: &mut dyn Host, inv: &InvId, last: bool, nth: usize, took: Tenths, ending: Ending,
         in_flight: Option<f64>,
     ) {
-        self.look_up(host);
-        let Some(found) = self.invs.get_mut(inv) else { return self.settle(host) };
-        let Some((pod, at, before)) = found.end(nth, ending) else { return self.settle(host) };
-        let (op, answered, erred, key) = (found.op, found.answered, found.sent[nth].erred, found.key);
-        let wait = found.until - at;
-        self.bind(key.filter(|_| ending == Ending::Succeeded), self.pods.build[pod]);
-        self.note_pod(pod, at, ending, in_flight, took > self.facts.operations[op.0].slo_time.scale(0.5));
-        // What errs at any pod blames neither pod nor build: an error counts once another pod did better.
-        let last_word = !self.may_send_again(&self.invs[inv]) || nth + 1 >= self.facts.max_dispatches;
+        self.update_clock(host);
+        let Some(invocation) = self.invocations.get_mut(inv) else { return self.apply_rules(host) };
+        let Some(EndedDispatch { pod, sent_at, failed_pods }) = invocation.record_ending(nth, ending) else {
+            return self.apply_rules(host);
+        };
+        let (op, answered, key) = (invocation.op, invocation.answered, invocation.key);
+        let failed = invocation.dispatches[nth].failed;
+        let wait = invocation.until - sent_at;
+        self.bind_key(key.filter(|_| ending == Ending::Succeeded), self.pods.build[pod]);
+        self.record_pod_outcome(pod, sent_at, ending, in_flight, took > self.late_after(op));
+        // An invocation that fails at every pod blames neither a pod nor the build. A failure counts once
+        // another pod has answered the same invocation, or if no further dispatch may be made.
+        let no_retry =
+            !self.may_dispatch_again(&self.invocations[inv]) || nth + 1 >= self.facts.max_dispatches;
         if ending == Ending::Succeeded {
-            before.iter().for_each(|&p| self.blame(p, op));
+            failed_pods.iter().for_each(|&p| self.record_error(p, op));
         }
-        if erred && last_word && before.is_empty() {
-            self.blame(pod, op);
-        } else if !erred && self.now != self.stood_still {
-            self.note_evidence(pod, op, took, ending);
+        if failed && no_retry && failed_pods.is_empty() {
+            self.record_error(pod, op);
+        } else if !failed && self.now != self.stalled_at {
+            self.record_evidence(pod, op, took, ending);
         }
-        self.note_room(pod, op, took, wait, ending);
-        self.succeeded_since_pulse += f64::from(ending == Ending::Succeeded);
+        self.sample_for_limit(pod, op, took, wait, ending);
+        self.succeeded_since_tick += f64::from(ending == Ending::Succeeded);
         if last || answered {
             self.close(inv);
         } else {
             self.ready.push_back(inv.clone());
         }
-        self.settle(host);
+        self.apply_rules(host);
     }
 
+    /// The client of `inv` has left, or has its answer already.
     pub fn on_abort(&mut self, host: &mut dyn Host, inv: &InvId) {
-        self.look_up(host);
-        // Who leaves early waits on a pod whose time-out would tell only seconds later.
-        if let Some((op, pod, at)) = self.invs.get(inv).and_then(Inv::waits_on) {
-            self.note_room(pod, op, self.now - at, self.now - at, Ending::Succeeded);
+        self.update_clock(host);
+        // The time-out of the dispatch would show only seconds later that the pod keeps clients waiting.
+        if let Some(pending) = self.invocations.get(inv).and_then(Invocation::pending_dispatch) {
+            let waited = self.now - pending.sent_at;
+            self.sample_for_limit(pending.pod, pending.op, waited, waited, Ending::Succeeded);
         }
         self.close(inv);
-        self.settle(host);
+        self.apply_rules(host);
     }
 
+    /// One entry of a pod list. `started_at` is the start of the process, if known.
     pub fn on_pod(
         &mut self, pod: PodId, kind: MachineKind, zone: Zone, availability: Availability, cell: Cell,
-        weight: f64, born: Option<Tenths>, build: Build,
+        weight: f64, started_at: Option<Tenths>, build: Build,
     ) {
-        let born = born.unwrap_or(Tenths(i64::MIN / 4));
-        let p = self.pods.entry(self.now, pod, kind, zone, cell, born, build, self.rng.f64());
+        let started_at = started_at.unwrap_or(UNKNOWN_START);
+        let p = self.pods.find_or_add(self.now, pod, kind, zone, cell, started_at, build, self.rng.f64());
         self.pods.weight[p] = weight.max(0.01);
-        self.pods.up[p] = availability == Availability::Up;
+        self.pods.available[p] = availability == Availability::Up;
         self.pods.listed[p] = true;
     }
 
+    /// The pod list is complete.
     pub fn end_pod_list(&mut self, host: &mut dyn Host) {
-        self.look_up(host);
-        self.pods.drop_unlisted(self.now);
-        self.sort_pods();
-        self.settle(host);
+        self.update_clock(host);
+        self.pods.retire_unlisted(self.now);
+        self.classify_pods();
+        self.apply_rules(host);
     }
 
+    /// The source of pod lists failed; the last list stays in use.
     pub fn on_pod_list_failure(&mut self, host: &mut dyn Host) {
         if self.facts.must_subscribe {
             host.subscribe(true);
         }
-        self.settle(host);
+        self.apply_rules(host);
     }
 
+    /// The platform reported a release whose stage started `since` ago; `to_vote` says that this answers a
+    /// vote. Unless `ending` is [`Ending::Succeeded`] there was no report, and the release given is ignored.
     pub fn on_stage(
         &mut self, host: &mut dyn Host, build: Build, stage: u32, since: Tenths, phase: Phase, to_vote: bool,
         cap: f64, ending: Ending,
     ) {
-        self.look_up(host);
+        self.update_clock(host);
         if let (true, Some(ballot)) = (to_vote, &mut self.ballot) {
-            self.rebuffs = if ending == Ending::Succeeded { 0 } else { (self.rebuffs + 1).min(5) };
-            let again = self.facts.vote_timeout.scale(f64::from(1 << self.rebuffs));
+            self.refused_votes =
+                if ending == Ending::Succeeded { 0 } else { (self.refused_votes + 1).min(5) };
+            let retry_delay = self.facts.vote_timeout.scale(f64::from(1 << self.refused_votes));
             let settled = matches!(ending, Ending::Succeeded | Ending::Moot);
-            ballot.3 = self.now + if settled { self.facts.vote_ttl.scale(0.5) } else { again };
+            ballot.repeat_at = self.now + if settled { self.facts.vote_ttl.scale(0.5) } else { retry_delay };
         }
         if ending == Ending::Succeeded {
             if matches!(phase, Phase::GoingBack | Phase::Withdrawn) {
-                self.bound.retain(|_, b| *b < build);
+                self.key_builds.retain(|_, bound| *bound < build);
             }
-            if self.told.is_some_and(|t| t.build == build && cap < t.cap) {
-                self.allowance.iter_mut().for_each(|a| *a = if cap > 0.0 { a.min(1.0) } else { 0.0 });
+            if self.release.is_some_and(|r| r.build == build && cap < r.cap) {
+                let limit_tokens = |tokens: &mut f64| *tokens = if cap > 0.0 { tokens.min(1.0) } else { 0.0 };
+                self.trial_tokens.iter_mut().for_each(limit_tokens);
             }
-            self.best = if self.told.is_some_and(|t| t.stage == stage) { self.best } else { self.totals };
-            self.told = Some(Told { build, stage, phase, cap, from: self.now - since });
-            self.sort_pods();
+            let same_stage = self.release.is_some_and(|r| r.stage == stage);
+            self.lowest_totals = if same_stage { self.lowest_totals } else { self.totals };
+            self.release =
+                Some(ReleaseState { build, stage, phase, cap, stage_started_at: self.now - since });
+            self.classify_pods();
         }
-        self.settle(host);
+        self.apply_rules(host);
     }
 
-    pub fn on_peer_message(&mut self, host: &mut dyn Host, from: Peer, words: &[u8]) {
-        self.look_up(host);
-        let known = |(build, _): &(Build, Said)| self.judged == Some(*build) && from.0 < self.said.len();
-        if let Some((_, said)) = Said::decode(words).filter(known) {
-            self.count_bits(from, said);
+    /// A message of another sidecar arrived. One that cannot be decoded, or that concerns a build which is
+    /// not under judgement here, is ignored.
+    pub fn on_peer_message(&mut self, host: &mut dyn Host, from: Peer, payload: &[u8]) {
+        self.update_clock(host);
+        let relevant = |(build, _): &(Build, EvidenceCounts)| {
+            self.judged == Some(*build) && from.0 < self.peer_counts.len()
+        };
+        if let Some((_, counts)) = EvidenceCounts::decode(payload).filter(relevant) {
+            self.add_counts(from, counts);
         }
-        self.settle(host);
+        self.apply_rules(host);
     }
 
-    /// Who hears the bits from now on, and whether this sidecar is the one that may act on their sum: where
-    /// one leads, the host knows.
+    /// Under leadership: evidence goes to `voters`, and this sidecar votes on their sum only if it `acts`.
+    /// Without a call of this method the sidecars with the lowest indexes vote.
     pub fn on_leadership(&mut self, host: &mut dyn Host, voters: Vec<Peer>, acts: bool) {
-        // Who is new among them has heard nothing yet.
-        self.spoken_at = if self.voters == voters { self.spoken_at } else { Tenths(0) };
-        (self.voters, self.turn) = (voters, acts.then_some(0));
-        self.settle(host);
+        // A new voter has received nothing yet, so the next broadcast must not wait.
+        self.broadcast_at = if self.voters == voters { self.broadcast_at } else { Tenths(0) };
+        (self.voters, self.voter_rank) = (voters, acts.then_some(0));
+        self.apply_rules(host);
     }
 
+    /// A client reported that an answer of `pod`, given `since` ago, was wrong.
     pub fn on_objection(&mut self, host: &mut dyn Host, pod: PodId, _op: Op, since: Tenths) {
-        self.look_up(host);
-        // Silence about a pod's first answers is no evidence, so a word against them is none either.
-        let ran = self.pods.at(pod, self.now - since - FRESH).map(|p| self.pods.build[p]);
-        if ran.is_some() && ran == self.judged {
-            let (p0, p1) = (self.flags / self.succeeded, WRONG_SHARE * self.facts.flag_share);
-            self.feed(WRONG, FLAG_WEIGHT * (p1 / p0).ln().clamp(0.5, 3.0));
-        } else if ran.is_some() {
-            self.flags += 1.0;
+        self.update_clock(host);
+        // The answers of a pod younger than `MIN_POD_AGE` are no evidence for the build, so that objections
+        // to them are none against it.
+        let process = self.pods.process_at(pod, self.now - since - MIN_POD_AGE);
+        let build = process.map(|p| self.pods.build[p]);
+        if build.is_some() && build == self.judged {
+            let p0 = self.earlier_objections / self.earlier_answers;
+            let p1 = WRONG_ANSWER_SHARE * self.facts.flag_share;
+            self.add_evidence(WRONG_ANSWER_TEST, OBJECTION_WEIGHT * (p1 / p0).ln().clamp(0.5, 3.0));
+        } else if build.is_some() {
+            self.earlier_objections += 1.0;
         }
-        self.settle(host);
+        self.apply_rules(host);
     }
 
+    /// A timer set by [`Host::set_timer`] fired; it may also be called at any other time.
     pub fn on_timer(&mut self, host: &mut dyn Host, _token: u64) {
-        self.settle(host);
+        self.apply_rules(host);
     }
 
-    /// After standing still all is late by one's own fault: of pods, build and fleet that tells nothing.
-    fn look_up(&mut self, host: &mut dyn Host) {
+    /// Reads the clock and detects a stall. What is late after a stall is late because of this sidecar, and
+    /// says nothing about pods, build or fleet.
+    fn update_clock(&mut self, host: &mut dyn Host) {
         self.now = host.now();
-        self.stood_still =
-            if self.now > self.pulse_at + Tenths::ms(200) { self.now } else { self.stood_still };
+        self.stalled_at = if self.now > self.next_tick + MAX_TICK_DELAY { self.now } else { self.stalled_at };
     }
 
-    fn settle(&mut self, host: &mut dyn Host) {
-        self.look_up(host);
-        if self.now >= self.pulse_at {
-            self.pulse();
+    fn apply_rules(&mut self, host: &mut dyn Host) {
+        self.update_clock(host);
+        if self.now >= self.next_tick {
+            self.tick();
         }
         while RULES.iter().any(|rule| rule(self, host)) {}
-        // Only the spare is kept over: so the cap holds in any window.
-        self.allowance.iter_mut().for_each(|a| *a = a.min(self.facts.cap_burst));
+        // Only the burst is carried over, so the cap holds in any window.
+        self.trial_tokens.iter_mut().for_each(|tokens| *tokens = tokens.min(self.facts.cap_burst));
     }
 
-    fn answer_what_is_due(&mut self, host: &mut dyn Host) -> bool {
-        let Some(inv) = self.due.pop(self.now) else { return false };
-        let Some(found) = self.invs.get(&inv).filter(|i| !i.answered) else { return true };
-        if self.now >= found.until || found.out() == 0 {
+    fn check_next_due(&mut self, host: &mut dyn Host) -> bool {
+        let Some(inv) = self.checks.pop_due(self.now) else { return false };
+        let Some(invocation) = self.invocations.get(&inv).filter(|i| !i.answered) else { return true };
+        if self.now >= invocation.until || invocation.in_flight() == 0 {
             self.give_up(host, &inv);
-        } else if found.out() == 1 {
-            self.look_again(host, &inv);
+        } else if invocation.in_flight() == 1 {
+            self.replace_if_stuck(host, &inv);
         }
         true
     }
 
+    /// Dispatches the next ready invocation, holds it, or gives it up.
     fn place_next(&mut self, host: &mut dyn Host) -> bool {
         let Some(inv) = self.ready.pop_front() else { return false };
-        let Some(found) = self.invs.get(&inv).filter(|i| !i.answered && i.out() == 0) else { return true };
-        // One that was cut off its stuck pod has been paid for; elsewhere it may still be in time.
-        let early = self.now < found.waits || found.sent.last().is_some_and(|s| !s.erred && !s.never_ran);
-        let held = early && found.may_have_run().is_none();
-        let room = found.sent.len() < self.facts.max_dispatches && self.now < found.until;
-        // A third pod would err too: the clients' own errors must not fill the fleet.
-        let hope = found.sent.iter().filter(|s| s.erred).count() < 2 && self.may_send_again(found);
-        let may = room && (found.sent.is_empty() || early && hope);
-        match if may { self.choose(&inv) } else { None } {
-            Some(pod) => self.send(host, &inv, pod),
-            None if may && held => self.waiting.push_back(inv),
+        let placeable = |i: &&Invocation| !i.answered && i.in_flight() == 0;
+        let Some(invocation) = self.invocations.get(&inv).filter(placeable) else { return true };
+        // A dispatch cancelled at a stuck pod has cost its price already; another pod may still answer in
+        // time.
+        let cancelled = invocation.dispatches.last().is_some_and(|d| !d.failed && !d.not_executed);
+        let early = self.now < invocation.hold_until || cancelled;
+        let may_hold = early && invocation.first_possibly_executed().is_none();
+        let within_limits =
+            invocation.dispatches.len() < self.facts.max_dispatches && self.now < invocation.until;
+        // What failed twice would fail at a third pod too. Errors caused by clients must not fill the fleet.
+        let failures = invocation.dispatches.iter().filter(|d| d.failed).count();
+        let may_retry = failures < 2 && self.may_dispatch_again(invocation);
+        let may_dispatch = within_limits && (invocation.dispatches.is_empty() || early && may_retry);
+        match if may_dispatch { self.choose_pod(&inv) } else { None } {
+            Some(pod) => self.dispatch(host, &inv, pod),
+            None if may_dispatch && may_hold => self.waiting.push_back(inv),
             None => self.give_up(host, &inv),
         }
         true
     }
 
-    fn vote_back(&mut self, host: &mut dyn Host) -> bool {
-        let Some((turn, told)) = self.voting() else { return false };
-        let proven = self.totals.iter().any(|t| *t >= ((1.0 - BETA) / ALPHA).ln());
-        if !proven || !matches!(told.phase, Phase::Trial | Phase::Released) {
-            self.back_since = None;
+    fn vote_to_roll_back(&mut self, host: &mut dyn Host) -> bool {
+        let Some((delay, release)) = self.vote_delay_and_release() else { return false };
+        let proven = self.totals.iter().any(|total| *total >= rollback_threshold());
+        if !proven || !matches!(release.phase, Phase::Trial | Phase::Released) {
+            self.rollback_proven_since = None;
             return false;
         }
-        self.now >= *self.back_since.get_or_insert(self.now) + turn && self.cast(host, told, Verdict::Back)
-    }
-
-    fn vote_on(&mut self, host: &mut dyn Host) -> bool {
-        let Some((turn, told)) = self.voting() else { return false };
-        let newest = self.trial.iter().map(|&p| self.pods.born[p]).max();
-        let ready = newest.filter(|&b| b >= told.from).unwrap_or(told.from + ON_WAIT);
-        let sure = [ERRED, SLOW].iter().all(|g| self.totals[*g] <= -((1.0 - ALPHA) / BETA).ln());
-        let heard = self.facts.sidecar_count < 2 || self.now < self.heard_at + SILENT_AFTER;
-        // Where the earlier pods are gone already, waiting costs nothing, and only time can tell.
-        let known = heard && self.seen >= 6 && !self.alone;
-        let early = self.facts.min_stage_time + Tenths::ms(700);
-        let wait = if sure && known { early } else { ON_WAIT.scale(if known { 1.0 } else { 2.0 }) };
-        let open = told.phase == Phase::Trial && self.slow_spell != Some(true) && self.facts.votes_advance;
-        let melts = (0..GROUNDS).any(|g| self.totals[g] > (self.best[g] + BAND / 2.0).min(0.0));
-        if !open || melts || self.now < ready.max(self.awake_since) + wait {
-            self.on_since = None;
+        self.now >= *self.rollback_proven_since.get_or_insert(self.now) + delay
+            && self.cast_vote(host, release, Verdict::Back)
+    }
+
+    fn vote_to_advance(&mut self, host: &mut dyn Host) -> bool {
+        let Some((delay, release)) = self.vote_delay_and_release() else { return false };
+        let newest_start = self.trial_pods.iter().map(|&p| self.pods.started_at[p]).max();
+        let pods_ready_at = newest_start
+            .filter(|&start| start >= release.stage_started_at)
+            .unwrap_or(release.stage_started_at + ADVANCE_WAIT);
+        let conclusive =
+            [ERROR_TEST, LATENCY_TEST].iter().all(|test| self.totals[*test] <= -advance_threshold());
+        let peers_heard = self.facts.sidecar_count < 2 || self.now < self.peer_heard_at + STALE_AFTER;
+        // Once no earlier pod is left, waiting costs nothing, and only time can show whether the build is
+        // good.
+        let informed = peers_heard && self.known_outcomes >= MIN_OUTCOMES_TO_ADVANCE && !self.no_earlier_pods;
+        let min_wait = self.facts.min_stage_time + CONCLUSIVE_ADVANCE_DELAY;
+        let wait = if conclusive && informed {
+            min_wait
+        } else {
+            ADVANCE_WAIT.scale(if informed { 1.0 } else { 2.0 })
+        };
+        let may_advance =
+            release.phase == Phase::Trial && self.slow_period != Some(true) && self.facts.votes_advance;
+        // A total that rises from its lowest value in this stage is evidence against the build.
+        let losing_credit =
+            (0..TESTS).any(|test| self.totals[test] > (self.lowest_totals[test] + BAND / 2.0).min(0.0));
+        if !may_advance || losing_credit || self.now < pods_ready_at.max(self.started_at) + wait {
+            self.advance_ready_since = None;
             return false;
         }
-        self.now >= *self.on_since.get_or_insert(self.now) + turn && self.cast(host, told, Verdict::On)
+        self.now >= *self.advance_ready_since.get_or_insert(self.now) + delay
+            && self.cast_vote(host, release, Verdict::On)
     }
 
-    /// Good and bad news at one pace. Without news all sidecars together repeat only as much as a few would.
-    fn speak(&mut self, host: &mut dyn Host) -> bool {
-        let Some(build) = self.judged.filter(|_| self.now >= self.speak_at) else { return false };
-        self.speak_at = self.now + SPEAK_EVERY;
-        self.sum_up();
-        let repeat = SPEAK_EVERY.scale((self.facts.sidecar_count as f64 / BANDS_FULL).max(1.0));
-        if self.mine.says_the_same(&self.spoken) && self.now < self.spoken_at + repeat {
+    /// Sends the evidence to the voters. Evidence for and against the build goes out at the same interval.
+    /// Without new evidence all sidecars together repeat theirs only as often as `FULL_BAND_SIDECARS` would.
+    fn broadcast_evidence(&mut self, host: &mut dyn Host) -> bool {
+        let Some(build) = self.judged.filter(|_| self.now >= self.next_broadcast) else { return false };
+        self.next_broadcast = self.now + BROADCAST_INTERVAL;
+        self.update_totals();
+        let repeat_interval =
+            BROADCAST_INTERVAL.scale((self.facts.sidecar_count as f64 / FULL_BAND_SIDECARS).max(1.0));
+        let unchanged = self.own_counts.has_same_crossings(&self.broadcast_counts);
+        if unchanged && self.now < self.broadcast_at + repeat_interval {
             return false;
         }
-        (self.spoken, self.spoken_at) = (self.mine, self.now);
-        if self.facts.peer_messages && self.mine.seen > 0 {
-            let words = self.mine.encode(build);
+        self.broadcast_counts = self.own_counts;
+        self.broadcast_at = self.now;
+        if self.facts.peer_messages && self.own_counts.outcomes > 0 {
+            let payload = self.own_counts.encode(build);
             for peer in self.voters.iter().filter(|p| **p != self.facts.own_peer) {
-                host.send_to_peer(Some(*peer), &words);
+                host.send_to_peer(Some(*peer), &payload);
             }
         }
-        self.count_bits(self.facts.own_peer, self.mine);
+        self.add_counts(self.facts.own_peer, self.own_counts);
         true
     }
 
-    fn keep_awake(&mut self, host: &mut dyn Host) -> bool {
-        self.next_wake().map(|delay| host.set_timer(delay, 0)).is_some()
+    fn schedule_timer(&mut self, host: &mut dyn Host) -> bool {
+        self.next_timer().map(|delay| host.set_timer(delay, 0)).is_some()
     }
 
+    /// Answers the invocation as throttled if it may safely be repeated in time, otherwise as terminated.
     fn give_up(&mut self, host: &mut dyn Host, inv: &InvId) {
-        let found = &self.invs[inv];
-        if found.harmless(&self.facts.operations[found.op.0]) && self.now < found.until {
+        let invocation = &self.invocations[inv];
+        let op = &self.facts.operations[invocation.op.0];
+        if invocation.is_safe_to_repeat(op) && self.now < invocation.until {
             host.throttle(inv, self.facts.max_retry_after);
         } else {
             host.terminate(inv);
@@ -342,401 +489,540 @@
         self.close(inv);
     }
 
-    fn may_send_again(&self, inv: &Inv) -> bool {
-        let op = &self.facts.operations[inv.op.0];
-        match (inv.may_have_run(), op.retry_safety) {
+    fn may_dispatch_again(&self, invocation: &Invocation) -> bool {
+        let op = &self.facts.operations[invocation.op.0];
+        match (invocation.first_possibly_executed(), op.retry_safety) {
             (None, _) | (_, RetrySafety::Idempotent) => true,
-            (Some((_, at)), RetrySafety::Fingerprinted) => self.now < at + op.dedup_window.scale(0.95),
+            (Some((_, sent_at)), RetrySafety::Fingerprinted) => {
+                self.now < sent_at + op.dedup_window.scale(DEDUP_WINDOW_SHARE)
+            }
             (Some(_), RetrySafety::SideEffecting) => false,
         }
     }
 
-    /// Sending another helps only where the pod looks stuck; behind a queue it would add to the queue.
-    fn look_again(&mut self, host: &mut dyn Host, inv: &InvId) {
-        let found = &self.invs[inv];
-        let Some(nth) = found.sent.iter().position(|s| !s.over) else { return };
-        let left = found.sent.len() < self.facts.max_dispatches && self.spare_sends >= 1.0;
-        // Where many are late, what looks stuck is a queue, and the pod works on at what is cut off.
-        let stuck = self.tardy[0] < TARDY / 2.0 && self.stuck(found.sent[nth].pod);
-        if !stuck || !left || !self.may_send_again(found) {
-            let later = self.now + self.facts.operations[found.op.0].slo_time.scale(0.2);
-            return self.due.push(later, inv);
+    /// Replaces or cancels the dispatch in flight if its pod looks stuck. Behind a queue another dispatch
+    /// would only lengthen the queue.
+    fn replace_if_stuck(&mut self, host: &mut dyn Host, inv: &InvId) {
+        let invocation = &self.invocations[inv];
+        let Some(nth) = invocation.dispatches.iter().position(|d| !d.ended) else { return };
+        let within_limits =
+            invocation.dispatches.len() < self.facts.max_dispatches && self.replacement_tokens >= 1.0;
+        // While many answers are late, a pod that looks stuck has a queue, and goes on executing what is
+        // cancelled.
+        let stuck =
+            self.late_share[0] < MAX_LATE_SHARE / 2.0 && self.is_stuck(invocation.dispatches[nth].pod);
+        if !stuck || !within_limits || !self.may_dispatch_again(invocation) {
+            let next_check = self.now + self.facts.operations[invocation.op.0].slo_time.scale(RECHECK_SHARE);
+            return self.checks.push(next_check, inv);
         }
-        self.spare_sends -= 1.0;
-        match self.facts.parallel_dispatches.then(|| self.choose(inv)).flatten() {
-            Some(pod) => self.send(host, inv, pod),
+        self.replacement_tokens -= 1.0;
+        match self.facts.parallel_dispatches.then(|| self.choose_pod(inv)).flatten() {
+            Some(pod) => self.dispatch(host, inv, pod),
             None if self.facts.cancel_allowed && !self.facts.parallel_dispatches => host.cancel(inv, nth),
             None => {}
         }
     }
 
-    fn send(&mut self, host: &mut dyn Host, inv: &InvId, p: usize) {
-        let (op, until) = self.note_sent(inv, p);
-        self.pods.pressed[p] = (self.pressure(p) + 1.0, self.now);
-        if self.on_trial(self.pods.build[p]) {
-            let bucket = self.bucket(op);
-            self.allowance[bucket] -= 1.0;
+    fn dispatch(&mut self, host: &mut dyn Host, inv: &InvId, p: usize) {
+        let (op, until) = self.record_dispatch(inv, p);
+        let level = self.current_dispatch_level(p) + 1.0;
+        self.pods.dispatch_level[p] = DispatchLevel { level, updated_at: self.now };
+        if self.is_on_trial(self.pods.build[p]) {
+            let bucket = self.token_bucket(op);
+            self.trial_tokens[bucket] -= 1.0;
         }
         host.dispatch(inv, self.pods.id[p], until);
     }
 
-    fn sort_pods(&mut self) {
-        let newest = self.pods.all_up().map(|p| self.pods.build[p]).max();
-        // A released build is watched on only where it was watched before.
-        let watched = |b: &Build| self.on_trial(*b) || self.judged == Some(*b);
-        let judged = newest.max(self.told.map(|t| t.build)).filter(watched);
+    /// Determines the build under judgement and divides the available pods into earlier ones and those on
+    /// trial.
+    fn classify_pods(&mut self) {
+        let newest_build = self.pods.all_available().map(|p| self.pods.build[p]).max();
+        // A released build is judged only if it was judged during its trial.
+        let is_judged = |build: &Build| self.is_on_trial(*build) || self.judged == Some(*build);
+        let judged = newest_build.max(self.release.map(|r| r.build)).filter(is_judged);
         if judged != self.judged {
             self.judged = judged;
-            self.begin_judging();
+            self.reset_evidence();
         }
         let (trial, earlier): (Vec<usize>, Vec<usize>) =
-            self.pods.all_up().partition(|&p| self.on_trial(self.pods.build[p]));
-        self.trial = trial.into_iter().filter(|&p| Some(self.pods.build[p]) == judged).collect();
-        self.earlier = earlier;
-        self.alone = self.pods.all_up().all(|p| Some(self.pods.build[p]) >= judged);
-        // What the newest released build can carry goes there: its elders only stand by.
-        let best = self.earlier.iter().map(|&p| self.pods.build[p]).max();
-        let newest = |p: &usize| Some(self.pods.build[*p]) == best;
-        if self.earlier.iter().filter(|p| newest(p)).count() * 2 >= self.earlier.len() {
-            self.earlier.retain(newest);
-        }
-        self.near_first();
-        self.measure();
-        self.part = self.trial_part();
-    }
-
-    fn trial_open(&self, op: Op) -> bool {
-        let (phase, stage) = self.news().map_or((Phase::Trial, 0), |t| (t.phase, t.stage));
-        let allowed = self.cap() > 0.0 && self.allowance[self.bucket(op)] >= 1.0;
+            self.pods.all_available().partition(|&p| self.is_on_trial(self.pods.build[p]));
+        self.trial_pods = trial.into_iter().filter(|&p| Some(self.pods.build[p]) == judged).collect();
+        self.earlier_pods = earlier;
+        self.no_earlier_pods = self.pods.all_available().all(|p| Some(self.pods.build[p]) >= judged);
+        // Once the newest released build has half of the earlier pods, the older builds only stand by.
+        let newest_released = self.earlier_pods.iter().map(|&p| self.pods.build[p]).max();
+        let is_newest = |p: &usize| Some(self.pods.build[*p]) == newest_released;
+        if self.earlier_pods.iter().filter(|p| is_newest(p)).count() * 2 >= self.earlier_pods.len() {
+            self.earlier_pods.retain(is_newest);
+        }
+        self.sort_near_pods_first();
+        self.update_fleet_figures();
+        self.trial_share = self.compute_trial_share();
+    }
+
+    /// Whether phase, cap and stage allow a dispatch of this operation to the build on trial.
+    fn trial_allows(&self, op: Op) -> bool {
+        let (phase, stage) = self.judged_release().map_or((Phase::Trial, 0), |r| (r.phase, r.stage));
+        let within_cap = self.cap() > 0.0 && self.trial_tokens[self.token_bucket(op)] >= 1.0;
         let barred = stage < self.facts.idempotent_only_stages
             && self.facts.operations[op.0].retry_safety != RetrySafety::Idempotent;
-        matches!(phase, Phase::Trial | Phase::GoingBack) && allowed && !barred
-    }
-
-    fn choose(&mut self, inv: &InvId) -> Option<usize> {
-        let found = &self.invs[inv];
-        let (op, first) = (found.op, found.sent.is_empty());
-        let tried: Vec<usize> = found.sent.iter().map(|s| s.pod).collect();
-        let (repeat, group) =
-            (self.facts.operations[op.0].retry_safety, self.facts.operations[op.0].dedup_scope);
-        let ran_at = found.may_have_run().filter(|_| repeat == RetrySafety::Fingerprinted).map(|(p, _)| p);
-        let floor = found.key.and_then(|k| self.bound.get(&k).copied()).filter(|_| self.facts.sticky_keys);
-        let chosen_key = match found.key.filter(|_| self.facts.sticky_keys) {
-            Some(key) => key.lane(LANES) < self.lanes_open,
-            None => self.rng.f64() < self.part,
+        matches!(phase, Phase::Trial | Phase::GoingBack) && within_cap && !barred
+    }
+
+    fn choose_pod(&mut self, inv: &InvId) -> Option<usize> {
+        let invocation = &self.invocations[inv];
+        let (op, is_first) = (invocation.op, invocation.dispatches.is_empty());
+        let tried: Vec<usize> = invocation.dispatches.iter().map(|d| d.pod).collect();
+        let Operation { retry_safety, dedup_scope, .. } = self.facts.operations[op.0];
+        let executed_at = invocation
+            .first_possibly_executed()
+            .filter(|_| retry_safety == RetrySafety::Fingerprinted)
+            .map(|(p, _)| p);
+        let sticky_key = invocation.key.filter(|_| self.facts.sticky_keys);
+        let min_build = sticky_key.and_then(|key| self.key_builds.get(&key).copied());
+        let drawn_for_trial = match sticky_key {
+            Some(key) => key.bucket(KEY_BUCKETS) < self.trial_key_buckets,
+            None => self.rng.f64() < self.trial_share,
         };
-        let held_to_trial = floor.is_some_and(|b| self.on_trial(b));
-        let ok = |s: &Self, p: usize| {
-            ran_at.is_none_or(|q| s.pods.grouped(group, p, q)) && floor.is_none_or(|b| s.pods.build[p] >= b)
+        let bound_to_trial = min_build.is_some_and(|build| self.is_on_trial(build));
+        let eligible = |s: &Self, p: usize| {
+            executed_at.is_none_or(|q| s.pods.share_dedup_scope(dedup_scope, p, q))
+                && min_build.is_none_or(|build| s.pods.build[p] >= build)
         };
-        let goes = self.trial_open(op) && (held_to_trial || first && chosen_key || self.earlier.is_empty());
-        let trial = if goes { self.pick(true, &tried, &ok) } else { None };
-        let earlier = if held_to_trial { None } else { self.pick(false, &tried, &ok) };
+        let to_trial = self.trial_allows(op)
+            && (bound_to_trial || is_first && drawn_for_trial || self.earlier_pods.is_empty());
+        let trial = if to_trial { self.choose_from_set(true, &tried, &eligible) } else { None };
+        let earlier = if bound_to_trial { None } else { self.choose_from_set(false, &tried, &eligible) };
         match (trial, earlier) {
             (Some(t), Some(e)) if self.load(t) > self.load(e) * 2.0 + 0.7 => Some(e),
             (t, e) => t.or(e),
         }
     }
 
-    /// What the trial would carry were it released, as what only fails when busy must show before. A zone
-    /// goes by its own pods, or with few of them it would find the build slow; one with none helps out.
-    fn trial_part(&self) -> f64 {
-        let power = |set: &[usize]| set.iter().map(|&p| self.power(p)).sum::<f64>();
-        let part = |earlier: &[usize], trial: &[usize], before: f64| {
-            // What cold pods do not take yet would fall on the trial's warm ones.
-            let takes = trial.iter().filter(|&&p| self.bears(p)).map(|&p| self.power(p)).sum::<f64>();
-            // Near its limit a fleet gets even loads: a little more would be late there at any build.
-            let even = before == 0.0 || self.tardy[0] > TARDY / 2.0;
-            takes / if even { power(earlier) + power(trial) } else { before }.max(1e-9)
+    /// The share of traffic that the build on trial would carry if it were released, so that a build which
+    /// fails only under load fails before its release. It is computed for this zone and for all pods, and the
+    /// lesser counts: a zone with few trial pods would overload them and find the build slow. A zone without
+    /// trial pods uses the share for all.
+    fn compute_trial_share(&self) -> f64 {
+        let capacity = |set: &[usize]| set.iter().map(|&p| self.capacity(p)).sum::<f64>();
+        let share = |earlier: &[usize], trial: &[usize], capacity_before: f64| {
+            // Pods that are too cold to take a dispatch do not count; their share would fall on the warm
+            // trial pods.
+            let usable = trial.iter().filter(|&&p| self.can_take(p)).map(|&p| self.capacity(p)).sum::<f64>();
+            // Near its limit the fleet is loaded evenly, as a little more load would make any build late
+            // there.
+            let even = capacity_before == 0.0 || self.late_share[0] > MAX_LATE_SHARE / 2.0;
+            usable / if even { capacity(earlier) + capacity(trial) } else { capacity_before }.max(1e-9)
         };
-        let [earlier, trial] = self.near;
-        let all = part(&self.earlier, &self.trial, self.calm_power[0]).min(0.85);
-        let near = part(&self.earlier[..earlier], &self.trial[..trial], self.calm_power[1]);
-        near.min(all).max(if trial > 0 { 0.0 } else { all })
-    }
-
-    fn pick(&mut self, trial: bool, tried: &[usize], ok: Fit) -> Option<usize> {
-        let (n, f) = (self.two(trial, true, tried, ok), self.two(trial, false, tried, ok));
-        let lead = CROSSING_LEAD * self.facts.cross_zone_price;
-        match (n, f) {
-            (Some(n), Some(f)) if self.load(f) <= self.load(n) && self.rng.f64() < self.spill => Some(f),
-            (Some(n), Some(f)) if self.load(n) > (1.0 + lead) * self.load(f) + lead => Some(f),
+        let [near_earlier, near_trial] = self.near_pods;
+        let all =
+            share(&self.earlier_pods, &self.trial_pods, self.capacity_before_trial[0]).min(MAX_TRIAL_SHARE);
+        let near = share(
+            &self.earlier_pods[..near_earlier],
+            &self.trial_pods[..near_trial],
+            self.capacity_before_trial[1],
+        );
+        near.min(all).max(if near_trial > 0 { 0.0 } else { all })
+    }
+
+    /// Chooses a pod of this zone, unless a pod of another zone is enough less loaded or the share that
+    /// spills to other zones takes it there.
+    fn choose_from_set(&mut self, trial: bool, tried: &[usize], eligible: PodFilter) -> Option<usize> {
+        let near = self.choose_of_two(trial, true, tried, eligible);
+        let far = self.choose_of_two(trial, false, tried, eligible);
+        let margin = CROSS_ZONE_LOAD_MARGIN * self.facts.cross_zone_price;
+        match (near, far) {
+            (Some(n), Some(f)) if self.load(f) <= self.load(n) && self.rng.f64() < self.spill_share => {
+                Some(f)
+            }
+            (Some(n), Some(f)) if self.load(n) > (1.0 + margin) * self.load(f) + margin => Some(f),
             (n, f) => n.or(f),
         }
     }
 
-    /// Two random choices by fewest in flight; a pass over the set only where no pod drawn is well.
-    fn two(&mut self, trial: bool, near: bool, tried: &[usize], ok: Fit) -> Option<usize> {
-        let (set, mut rng) = (if trial { &self.trial } else { &self.earlier }, self.rng.clone());
-        let (here, there) = set.split_at(self.near[usize::from(trial)]);
-        let all = if near { here } else { there };
-        let from = &all[..self.few.min(all.len())];
-        let fit = |s: &Self, p: usize| ok(s, p) && s.bears(p);
-        let well = |s: &Self, p: usize| {
-            let answers = s.now >= s.pods.shunned_till[p] && !s.stuck(p);
-            let as_others = s.pods.sick[p] <= s.mean_sick + SICK && s.pods.lame[p] <= s.mean_lame + SICK;
-            answers && as_others && !tried.contains(&p) && fit(s, p)
+    /// The less loaded of two healthy pods drawn at random. The whole set is scanned only if none of eight
+    /// drawn is healthy; a pod that is merely usable is taken if no healthy one exists.
+    fn choose_of_two(
+        &mut self, trial: bool, near: bool, tried: &[usize], eligible: PodFilter,
+    ) -> Option<usize> {
+        let set = if trial { &self.trial_pods } else { &self.earlier_pods };
+        let mut rng = self.rng.clone();
+        let (near_pods, far_pods) = set.split_at(self.near_pods[usize::from(trial)]);
+        let all = if near { near_pods } else { far_pods };
+        let subset = &all[..self.subset_size.min(all.len())];
+        let usable = |s: &Self, p: usize| eligible(s, p) && s.can_take(p);
+        let healthy = |s: &Self, p: usize| {
+            let answering = s.now >= s.pods.avoided_until[p] && !s.is_stuck(p);
+            let few_errors = s.pods.error_share[p] <= s.mean_error_share + UNHEALTHY_MARGIN;
+            let few_late = s.pods.late_share[p] <= s.mean_late_share + UNHEALTHY_MARGIN;
+            answering && few_errors && few_late && !tried.contains(&p) && usable(s, p)
         };
         let (mut best, mut found) = (None, 0);
-        for _ in 0..if from.is_empty() { 0 } else { 8 } {
-            let p = from[rng.usize(0..from.len())];
-            // Drawn by power: with nothing in flight the less loaded is always the stronger one.
-            if found < 2 && rng.f64() * self.most_power < self.power(p) && well(self, p) {
-                best = best.filter(|&b| self.queue(b) <= self.queue(p)).or(Some(p));
+        for _ in 0..if subset.is_empty() { 0 } else { 8 } {
+            let p = subset[rng.usize(0..subset.len())];
+            // Drawn in proportion to capacity: with nothing in flight the pod of larger capacity always looks
+            // less loaded.
+            if found < 2 && rng.f64() * self.max_capacity < self.capacity(p) && healthy(self, p) {
+                best = best.filter(|&b| self.relative_queue(b) <= self.relative_queue(p)).or(Some(p));
                 found += 1;
             }
         }
         if found == 0 {
-            let (a, b) = all.split_at(rng.usize(0..all.len().max(1)));
-            let turned = || b.iter().chain(a).copied();
-            best = turned().find(|&p| well(self, p)).or_else(|| turned().find(|&p| fit(self, p)));
+            let (head, tail) = all.split_at(rng.usize(0..all.len().max(1)));
+            let from_random_start = || tail.iter().chain(head).copied();
+            best = from_random_start()
+                .find(|&p| healthy(self, p))
+                .or_else(|| from_random_start().find(|&p| usable(self, p)));
         }
         self.rng = rng;
         best
     }
 
+    /// Queue of the pod with one more dispatch, relative to its capacity.
     fn load(&self, p: usize) -> f64 {
-        self.queue(p) + 1.0 / self.power(p)
+        self.relative_queue(p) + 1.0 / self.capacity(p)
+    }
+
+    /// Estimated dispatches in flight at the pod, of all sidecars, relative to its capacity.
+    fn relative_queue(&self, p: usize) -> f64 {
+        // A report loses weight with age; otherwise a pod once found busy, and avoided since, would never be
+        // found idle again.
+        let age = (self.now - self.pods.last_answer[p]).as_secs().max(0.0);
+        let elsewhere = self.pods.in_flight_elsewhere[p] / (1.0 + 6.0 * age);
+        (self.pods.in_flight[p] as f64 + self.pods.abandoned[p] + elsewhere) / self.capacity(p)
     }
 
-    fn queue(&self, p: usize) -> f64 {
-        // A report ages: a pod once found busy and avoided since would never be found idle again.
-        let age = (self.now - self.pods.heard[p]).as_secs().max(0.0);
-        let others = self.pods.others[p] / (1.0 + 6.0 * age);
-        (self.pods.held[p] as f64 + self.pods.lost[p] + others) / self.power(p)
+    /// Dispatches a second that this sidecar may send to the pod while it is cold.
+    fn cold_dispatch_rate(&self, p: usize) -> f64 {
+        0.6 * self.facts.overload_multiple * self.warm_share(p) * self.rate_per_pod
     }
 
-    fn cold_rate(&self, p: usize) -> f64 {
-        0.6 * self.facts.overload_multiple * self.warmth(p) * self.rate_a_pod
+    /// Dispatch level of the pod, drained up to now.
+    fn current_dispatch_level(&self, p: usize) -> f64 {
+        let DispatchLevel { level, updated_at } = self.pods.dispatch_level[p];
+        (level - self.cold_dispatch_rate(p) * (self.now - updated_at).as_secs()).max(0.0)
     }
 
-    fn pressure(&self, p: usize) -> f64 {
-        let (level, at) = self.pods.pressed[p];
-        (level - self.cold_rate(p) * (self.now - at).as_secs()).max(0.0)
+    /// Whether the pod is warm, or has room for a dispatch while cold. A cold pod looks idle to all sidecars,
+    /// which together would overload it, so each keeps to its part of the rate at which a warm pod usually
+    /// answers well; bursts and errors do not raise that rate. If the part is less than one dispatch, the
+    /// random level drawn in `on_pod` decides who sends the first one and when, since hundreds of single
+    /// dispatches would be a burst too.
+    fn can_take(&self, p: usize) -> bool {
+        self.warm_share(p) >= 1.0 || self.current_dispatch_level(p) <= 0.3 * self.cold_dispatch_rate(p)
     }
 
-    /// Against pushing a cold pod over, which looks idle to all: each keeps to its part of what a warm pod
-    /// usually answers well, so that bursts and errors do not count. Where that is less than a dispatch,
-    /// chance (in `pod`) says who sends the first and when: hundreds of single ones are a burst too.
-    fn bears(&self, p: usize) -> bool {
-        self.warmth(p) >= 1.0 || self.pressure(p) <= 0.3 * self.cold_rate(p)
+    /// Whether the pod has several dispatches in flight and has not answered for much longer than usual.
+    fn is_stuck(&self, p: usize) -> bool {
+        let longest_mean_ms = self.latency_baselines.iter().map(|b| b.mean_ms).fold(0.0, f64::max);
+        let max_silence = Tenths::floor_ms((longest_mean_ms * 3.0).clamp(150.0, 1000.0));
+        self.pods.in_flight[p] >= 2 && self.now - self.pods.last_answer[p] > max_silence
     }
 
-    fn stuck(&self, p: usize) -> bool {
-        let usual = self.usual.iter().map(|u| u.ms).fold(0.0, f64::max);
-        let patience = Tenths::floor_ms((usual * 3.0).clamp(150.0, 1000.0));
-        self.pods.held[p] >= 2 && self.now - self.pods.heard[p] > patience
+    /// After so long an answer to this operation is late.
+    fn late_after(&self, op: Op) -> Tenths {
+        self.facts.operations[op.0].slo_time.scale(LATE_AFTER)
     }
 
-    fn note_pod(&mut self, p: usize, at: Tenths, ending: Ending, in_flight: Option<f64>, tardy: bool) {
-        self.pods.held[p] = self.pods.held[p].saturating_sub(1);
-        self.pods.lost[p] += f64::from(matches!(ending, Ending::TimedOut | Ending::Cancelled));
-        if let Some(n) = in_flight {
-            self.pods.others[p] += ((n - self.pods.held[p] as f64).max(0.0) - self.pods.others[p]) * 0.5;
+    /// Updates the health of a pod by the ending of a dispatch sent at `sent_at`.
+    fn record_pod_outcome(
+        &mut self, p: usize, sent_at: Tenths, ending: Ending, in_flight: Option<f64>, late: bool,
+    ) {
+        self.pods.in_flight[p] = self.pods.in_flight[p].saturating_sub(1);
+        self.pods.abandoned[p] += f64::from(matches!(ending, Ending::TimedOut | Ending::Cancelled));
+        if let Some(reported) = in_flight {
+            let elsewhere = (reported - self.pods.in_flight[p] as f64).max(0.0);
+            self.pods.in_flight_elsewhere[p] += (elsewhere - self.pods.in_flight_elsewhere[p]) * 0.5;
         }
-        // A pod may be ill for this sidecar alone; where no others are well, it is the fleet that is full.
-        if matches!(ending, Ending::Succeeded | Ending::TimedOut) && self.now != self.stood_still {
-            self.pods.lame[p] += (f64::from(tardy && self.some_well) - self.pods.lame[p]) / self.memory;
+        // A pod may be late for this sidecar only. If no other pods are healthy, the whole fleet is full, and
+        // the answer says nothing about the pod.
+        if matches!(ending, Ending::Succeeded | Ending::TimedOut) && self.now != self.stalled_at {
+            let late_alone = f64::from(late && self.some_pods_healthy);
+            self.pods.late_share[p] += (late_alone - self.pods.late_share[p]) / self.late_share_window;
         }
         match ending {
             Ending::Succeeded | Ending::Error => {
-                (self.pods.strikes[p], self.pods.heard[p]) = (0, self.now);
-                self.pods.sick[p] *= if ending == Ending::Error { 1.0 } else { 11.0 / 12.0 };
+                self.pods.failures_in_row[p] = 0;
+                self.pods.last_answer[p] = self.now;
+                self.pods.error_share[p] *= if ending == Ending::Error {
+                    1.0
+                } else {
+                    (ERROR_SHARE_WINDOW - 1.0) / ERROR_SHARE_WINDOW
+                };
             }
-            Ending::TimedOut if self.pods.heard[p] > at || !tardy => {}
+            Ending::TimedOut if self.pods.last_answer[p] > sent_at || !late => {}
             Ending::TimedOut | Ending::NoConnection | Ending::Reset => {
-                // Connections break; after a second break the process may have died, and comes back cold.
-                let again = self.pods.strikes[p] > 0;
-                if again && ending != Ending::TimedOut {
-                    (self.pods.cold_at[p], self.pods.pressed[p]) = (self.now, (self.rng.f64(), self.now));
+                // A single connection may break at any time. After a second failure the process may have
+                // died, and would come back cold.
+                let repeated = self.pods.failures_in_row[p] > 0;
+                if repeated && ending != Ending::TimedOut {
+                    self.pods.cold_since[p] = self.now;
+                    self.pods.dispatch_level[p] =
+                        DispatchLevel { level: self.rng.f64(), updated_at: self.now };
                 }
-                self.pods.strikes[p] = (self.pods.strikes[p] + 1).min(4);
-                let shun = i64::from(again || ending == Ending::TimedOut) * (250 << self.pods.strikes[p]);
-                self.pods.shunned_till[p] = self.now + Tenths::ms(shun);
+                self.pods.failures_in_row[p] = (self.pods.failures_in_row[p] + 1).min(4);
+                let avoid = repeated || ending == Ending::TimedOut;
+                let backoff_ms = i64::from(avoid) * (250 << self.pods.failures_in_row[p]);
+                self.pods.avoided_until[p] = self.now + Tenths::ms(backoff_ms);
             }
             _ => {}
         }
     }
 
-    fn blame(&mut self, p: usize, op: Op) {
-        self.pods.sick[p] += (1.0 - self.pods.sick[p]) / 12.0;
-        self.note_evidence(p, op, Tenths(0), Ending::Error);
+    /// Counts an error against the pod and its build.
+    fn record_error(&mut self, p: usize, op: Op) {
+        self.pods.error_share[p] += (1.0 - self.pods.error_share[p]) / ERROR_SHARE_WINDOW;
+        self.record_evidence(p, op, Tenths(0), Ending::Error);
     }
 
-    fn note_evidence(&mut self, p: usize, op: Op, took: Tenths, ending: Ending) {
+    /// Uses an outcome as evidence: for or against the build under judgement, or for the baselines of the
+    /// earlier one.
+    fn record_evidence(&mut self, p: usize, op: Op, took: Tenths, ending: Ending) {
+        let (ms, age) = (took.0 as f64 / 10.0, self.now - self.pods.started_at[p]);
+        let is_judged = Some(self.pods.build[p]) == self.judged;
         let counts = matches!(ending, Ending::Succeeded | Ending::Error | Ending::TimedOut);
-        let (o, ms, age) = (op.0, took.0 as f64 / 10.0, self.now - self.pods.born[p]);
-        let judged = Some(self.pods.build[p]) == self.judged;
-        // What was cut off for looking stuck is slow; else who never answers is never found so.
-        let cut = judged && ending == Ending::Cancelled;
-        let hasty = ending == Ending::TimedOut && took < self.facts.operations[o].slo_time.scale(0.5);
-        if hasty || !(counts || cut) || judged && age < FRESH {
+        // A dispatch cancelled at a pod that looked stuck is slow; otherwise a build that never answers would
+        // never be found slow.
+        let cancelled = is_judged && ending == Ending::Cancelled;
+        let client_in_haste = ending == Ending::TimedOut && took < self.late_after(op);
+        if client_in_haste || !(counts || cancelled) || is_judged && age < MIN_POD_AGE {
             return;
         }
-        let (released, watching) = (self.released(), self.weighty().is_some());
-        // Late answers and time-outs are the slow test's matter: under load they come at any build.
-        let (late, erred, even) = (ending == Ending::TimedOut, ending == Ending::Error, self.cap() < 1.0);
-        let usual = &mut self.usual[self.pods.kind[p].0 * self.facts.operations.len() + o];
-        // While the trial carries its part the earlier pods carry less than before, and answer sooner.
-        let before = judged && self.calm_seconds > 0.0;
-        let slow = late || cut || ms > usual.slow_mark.max(if before { usual.mark_before } else { 0.0 });
-        // Against a mark not learnt yet most are slow, and a time before that seems bad hides a bad build.
-        let learnt = watching || usual.answers >= P0_TRUSTED_AFTER;
-        if age >= FRESH && !erred && learnt && (!judged || self.alone || !even) {
-            let mark = if watching { usual.mark_before } else { usual.slow_mark };
-            self.fleet = (self.fleet.0 + f64::from(late || ms > mark), self.fleet.1 + 1.0);
-        }
-        if judged {
-            self.mine.seen = self.mine.seen.saturating_add(1);
-            // While earlier pods fail too, or few of its own do, only what most of them do is the build's.
-            let sick = &self.pods.sick;
-            let own = if released { &self.earlier } else { &self.trial };
-            let struck = |at| own.iter().filter(|p| sick[**p] > at).count();
-            let ill = !released && self.earlier.iter().any(|&p| sick[p] > SICK);
-            // Of many pods a small sidecar meets a few, and may by chance have met one ill one more.
-            let met = own.iter().filter(|p| self.pods.heard[**p] > self.pods.born[**p]).count();
-            let few = met / 4 + usize::from(met < own.len());
-            let others = ill && struck(SICK) <= met.max(2) / 2 || struck(SICK / 16.0) <= few;
-            // What sets in long after a release is not the build's, and no earlier pod is left to show it.
-            let old = released && self.told.is_some_and(|t| self.now > t.from + ON_WAIT.scale(2.0));
-            let excused = old || erred && others;
-            let known = self.erring[o].share.clamp(P0_FLOOR, 0.9);
-            let weight = if excused || cut { 0.0 } else { ratio(erred, known, known + P1_ABOVE) };
-            // Beside no answers or near idle pods, or near the limit, a slow build is like a slow hour.
-            let fresh = even && self.tardy[0] < TARDY / 2.0 && self.now < usual.at + SILENT_AFTER;
-            let ripe = !erred && !released && age >= self.facts.warmup_time;
-            if ripe && fresh && usual.answers >= P0_TRUSTED_AFTER {
-                let doubt = 0.5 / f64::from(usual.answers.min(64)).sqrt(); // small sidecars know little
-                let p0 = (usual.slow_share + doubt).clamp(0.05, 0.6);
-                let runs = if self.open as f64 > self.room * 0.6 { 0.4 } else { 1.0 }; // they come in runs
-                self.feed(SLOW, SLOW_WEIGHT * runs * ratio(slow, p0, p0 + SLOW_ABOVE));
-            }
-            self.feed(ERRED, weight);
-            let right = f64::from(!erred && !cut) * NO_FLAG_WEIGHT * WRONG_SHARE * self.facts.flag_share;
-            self.feed(WRONG, -right);
+        let trial_affects_fleet = self.release_affecting_fleet().is_some();
+        // Late answers and time-outs belong to the latency test: under load any build has them.
+        let timed_out = ending == Ending::TimedOut;
+        let failed = ending == Ending::Error;
+        let below_full_cap = self.cap() < 1.0;
+        let index = self.baseline_index(p, op);
+        let baseline = &self.latency_baselines[index];
+        // During the trial the earlier pods have less load than before and answer faster, so the threshold
+        // from before the trial counts if it is higher.
+        let has_before = is_judged && self.samples_before > 0.0;
+        let min_threshold_ms = if has_before { baseline.threshold_before_trial_ms } else { 0.0 };
+        let slow = timed_out || cancelled || ms > baseline.slow_threshold_ms.max(min_threshold_ms);
+        // Most answers exceed a threshold that is not learnt yet. A time before the trial that looks slow for
+        // that reason would hide a bad build.
+        let learnt = trial_affects_fleet || baseline.answers >= MIN_BASELINE_ANSWERS;
+        if age >= MIN_POD_AGE && !failed && learnt && (!is_judged || self.no_earlier_pods || !below_full_cap)
+        {
+            let threshold = if trial_affects_fleet {
+                baseline.threshold_before_trial_ms
+            } else {
+                baseline.slow_threshold_ms
+            };
+            let slower = f64::from(timed_out || ms > threshold);
+            self.fleet_sample = (self.fleet_sample.0 + slower, self.fleet_sample.1 + 1.0);
+        }
+        if is_judged {
+            self.judge_outcome(p, op, age, slow, failed, cancelled);
         } else if age >= self.facts.warmup_time {
-            self.erring[o].note(erred, 256.0);
-            if !erred {
-                self.succeeded += 1.0;
-                usual.at = self.now;
-                usual.note(ms, slow, SLOW_QUANTILE, 64, 0.04, MARK_GAIN);
+            self.failure_baselines[op.0].record(failed, FAILURE_WINDOW);
+            if !failed {
+                self.earlier_answers += 1.0;
+                let baseline = &mut self.latency_baselines[index];
+                baseline.updated_at = self.now;
+                baseline.record(ms, slow, SLOW_QUANTILE, LATENCY_WINDOW, SLOW_THRESHOLD_STEP, QUANTILE_GAIN);
             }
         }
     }
 
-    /// One bit for each crossing; what is heavier than the band enters in slices that end at it.
-    fn feed(&mut self, ground: usize, weight: f64) {
-        let sum = self.sums[ground] + weight;
-        let bits = (sum / self.band).trunc();
-        self.sums[ground] = sum - bits * self.band;
-        let side = &mut (if bits > 0.0 { &mut self.mine.up } else { &mut self.mine.down })[ground];
-        *side = side.wrapping_add(bits.abs() as u16);
-    }
-
-    /// Held within bounds: a build that turns bad late must not work off all the credit of a good start. What
-    /// came in one round is summed first: one by one, the lower bound would keep the bad and lose the good.
-    fn sum_up(&mut self) {
-        let (a, b) = (((1.0 - ALPHA) / BETA).ln(), ((1.0 - BETA) / ALPHA).ln());
-        let mut gathered = std::mem::take(&mut self.gathered);
-        gathered[SHARED] = self.of_one_spell(gathered[SHARED] / self.facts.sidecar_count as f64);
-        for (g, news) in gathered.into_iter().enumerate() {
-            // Flags come late and few, a slow fleet is a matter of the moment: neither gathers credit.
-            let floor = [-CREDIT * a, -CREDIT * a, -BAND, 0.0][g];
-            self.totals[g] = (self.totals[g] + news).clamp(floor, b + BAND);
-            self.best[g] = self.best[g].min(self.totals[g]);
-        }
-    }
-
-    /// Slowness counts only if it set in soon after the build got more. All sidecars together see that: of a
-    /// few answers a second by chance none is slow, and one alone would then see the spell begin anew.
-    fn of_one_spell(&mut self, news: f64) -> f64 {
-        self.slowing = self.slowing * 0.8 + news;
-        if self.slowing < -0.7 {
-            self.well_at = self.now;
-        }
-        // A fleet that was well until the stage's first pods came, still cold, was slowed by something else:
-        // so long it takes until a spell is seen.
-        let by = self.now - Tenths::ms(2000);
-        let worked =
-            |t: Told| self.trial.iter().any(|&p| t.from <= self.pods.born[p] && self.pods.born[p] <= by);
-        let early = |t: Told| self.now < t.from + Tenths::ms(7000) && (self.well_at < by || worked(t));
-        let early = !self.trial.is_empty() && self.news().is_some_and(early);
-        self.slow_spell = (self.slowing > 0.0).then(|| self.slow_spell.unwrap_or(early));
-        if self.slow_spell == Some(false) {
-            news.min(0.0)
+    /// Adds an outcome of the build under judgement to the error, latency and wrong-answer tests.
+    fn judge_outcome(&mut self, p: usize, op: Op, age: Tenths, slow: bool, failed: bool, cancelled: bool) {
+        self.own_counts.outcomes = self.own_counts.outcomes.saturating_add(1);
+        let released = self.is_released();
+        // What begins long after a release is not caused by the build, and no earlier pod is left to compare
+        // with.
+        let release_is_old =
+            released && self.release.is_some_and(|r| self.now > r.stage_started_at + ADVANCE_WAIT.scale(2.0));
+        let excused = release_is_old || failed && self.errors_are_excused(released);
+        let p0 = self.failure_baselines[op.0].share.clamp(MIN_P0, 0.9);
+        let error_evidence =
+            if excused || cancelled { 0.0 } else { log_likelihood_ratio(failed, p0, p0 + FAILURE_INCREASE) };
+        // A slow build cannot be told from a slow hour if the earlier build has not answered lately, has
+        // hardly any load left, or the fleet is near its limit.
+        let baseline = &self.latency_baselines[self.baseline_index(p, op)];
+        let comparable = self.cap() < 1.0
+            && self.late_share[0] < MAX_LATE_SHARE / 2.0
+            && self.now < baseline.updated_at + STALE_AFTER;
+        let warm_on_trial = !failed && !released && age >= self.facts.warmup_time;
+        if warm_on_trial && comparable && baseline.answers >= MIN_BASELINE_ANSWERS {
+            // The upper end of the estimate, since a sidecar with few answers knows little.
+            let uncertainty = 0.5 / f64::from(baseline.answers.min(LATENCY_WINDOW)).sqrt();
+            let p0 = (baseline.slow_share + uncertainty).clamp(0.05, 0.6);
+            // Near the concurrency limit slow answers come in longer runs.
+            let run_weight = if self.open as f64 > self.concurrency_limit * 0.6 { 0.4 } else { 1.0 };
+            let ratio = log_likelihood_ratio(slow, p0, p0 + SLOW_INCREASE);
+            self.add_evidence(LATENCY_TEST, SLOW_WEIGHT * run_weight * ratio);
+        }
+        self.add_evidence(ERROR_TEST, error_evidence);
+        let answered = f64::from(!failed && !cancelled);
+        let no_objection = answered * NO_OBJECTION_WEIGHT * WRONG_ANSWER_SHARE * self.facts.flag_share;
+        self.add_evidence(WRONG_ANSWER_TEST, -no_objection);
+    }
+
+    /// Whether errors of the build under judgement are put down to single pods. They are while at most a
+    /// quarter of the build's pods have errors. While an earlier pod has many errors too, they are unless
+    /// more than half of the build's pods have as many.
+    fn errors_are_excused(&self, released: bool) -> bool {
+        let error_share = &self.pods.error_share;
+        let own_pods = if released { &self.earlier_pods } else { &self.trial_pods };
+        let pods_with_errors = |min: f64| own_pods.iter().filter(|p| error_share[**p] > min).count();
+        let earlier_pods_fail =
+            !released && self.earlier_pods.iter().any(|&p| error_share[p] > UNHEALTHY_MARGIN);
+        // A sidecar with little traffic has had answers from a few pods only, and by chance one failing pod
+        // more may be among them.
+        let met = own_pods.iter().filter(|p| self.pods.last_answer[**p] > self.pods.started_at[**p]).count();
+        let max_failing = met / 4 + usize::from(met < own_pods.len());
+        earlier_pods_fail && pods_with_errors(UNHEALTHY_MARGIN) <= met.max(2) / 2
+            || pods_with_errors(UNHEALTHY_MARGIN / 16.0) <= max_failing
+    }
+
+    /// Index into `latency_baselines` for the machine kind of pod `p`.
+    fn baseline_index(&self, p: usize, op: Op) -> usize {
+        self.pods.kind[p].0 * self.facts.operations.len() + op.0
+    }
+
+    /// Adds evidence of this sidecar to a test and counts each crossing of the band as one bit. An
+    /// observation that is heavier than the band counts as several crossings, with the remainder kept.
+    fn add_evidence(&mut self, test: usize, weight: f64) {
+        let sum = self.unsent_evidence[test] + weight;
+        let crossings = (sum / self.band).trunc();
+        self.unsent_evidence[test] = sum - crossings * self.band;
+        let counts = if crossings > 0.0 {
+            &mut self.own_counts.up_crossings
+        } else {
+            &mut self.own_counts.down_crossings
+        };
+        counts[test] = counts[test].wrapping_add(crossings.abs() as u16);
+    }
+
+    /// Adds the pending evidence to the totals, which stay within bounds: a build that turns bad late must
+    /// not first use up the credit of a good start. The evidence of one round is summed before the bounds
+    /// apply; one bit at a time, the lower bound would keep the bad and drop the good.
+    fn update_totals(&mut self) {
+        let mut pending = std::mem::take(&mut self.pending_evidence);
+        pending[FLEET_TEST] = self.filter_slow_period(pending[FLEET_TEST] / self.facts.sidecar_count as f64);
+        for (test, evidence) in pending.into_iter().enumerate() {
+            // Objections are late and few, and a slow fleet is a matter of the moment: neither test gathers
+            // credit.
+            let credit = -MAX_CREDIT * advance_threshold();
+            let min = [credit, credit, -BAND, 0.0][test];
+            self.totals[test] = (self.totals[test] + evidence).clamp(min, rollback_threshold() + BAND);
+            self.lowest_totals[test] = self.lowest_totals[test].min(self.totals[test]);
+        }
+    }
+
+    /// Returns the fleet evidence, without what speaks against the build if the slow period did not begin
+    /// soon after the build got more traffic. The begin is taken from the sum of all sidecars: of a few
+    /// answers a second sometimes none is slow, and a single sidecar would then see a new period begin.
+    fn filter_slow_period(&mut self, evidence: f64) -> f64 {
+        self.fleet_slowness = self.fleet_slowness * 0.8 + evidence;
+        if self.fleet_slowness < -0.7 {
+            self.fleet_healthy_at = self.now;
+        }
+        // If the fleet was healthy until the first pods of the stage came, which are still cold, something
+        // else slowed it.
+        let detectable_since = self.now - SLOW_PERIOD_DETECTION_TIME;
+        let had_time_to_slow = |r: ReleaseState| {
+            self.trial_pods.iter().any(|&p| {
+                r.stage_started_at <= self.pods.started_at[p] && self.pods.started_at[p] <= detectable_since
+            })
+        };
+        let began_with_stage = |r: ReleaseState| {
+            self.now < r.stage_started_at + SLOW_PERIOD_START_LIMIT
+                && (self.fleet_healthy_at < detectable_since || had_time_to_slow(r))
+        };
+        let began_with_stage =
+            !self.trial_pods.is_empty() && self.judged_release().is_some_and(began_with_stage);
+        self.slow_period = (self.fleet_slowness > 0.0).then(|| self.slow_period.unwrap_or(began_with_stage));
+        if self.slow_period == Some(false) {
+            evidence.min(0.0)
         } else {
-            news
+            evidence
         }
     }
 
-    /// A build may slow old and new pods alike: the fleet is held against the time before; the throttled
-    /// count as slow, or the limiter would hide it. A spell counts by the build's traffic.
-    fn weigh_fleet(&mut self) {
-        let calm = self.weighty().is_none();
-        if calm {
-            self.usual.iter_mut().filter(|u| u.answers > 0).for_each(|u| u.mark_before = u.slow_mark);
+    /// Once a second, compares the fleet with the time before the trial: a build may slow old and new pods
+    /// alike. Throttled invocations count as slow, since the limit would otherwise hide the slowdown. A slow
+    /// second counts by the build's share of the traffic.
+    fn evaluate_fleet_sample(&mut self) {
+        let before_trial = self.release_affecting_fleet().is_none();
+        if before_trial {
+            for baseline in self.latency_baselines.iter_mut().filter(|b| b.answers > 0) {
+                baseline.threshold_before_trial_ms = baseline.slow_threshold_ms;
+            }
         }
-        if self.now < self.fleet_at + Tenths::ms(1000) || self.fleet.1 < 5.0 {
+        if self.now < self.fleet_sampled_at + FLEET_SAMPLE_INTERVAL || self.fleet_sample.1 < 5.0 {
             return;
         }
-        let secs = (self.now - self.fleet_at).as_secs().min(3.0);
-        self.fleet_at = self.now;
-        let (slow, all) = std::mem::take(&mut self.fleet);
-        if calm {
-            self.calm_seconds += 1.0;
-            self.fleet_before += (slow / all - self.fleet_before) * (1.0 / self.calm_seconds).max(0.1);
+        let seconds = (self.now - self.fleet_sampled_at).as_secs().min(3.0);
+        self.fleet_sampled_at = self.now;
+        let (slow, all) = std::mem::take(&mut self.fleet_sample);
+        if before_trial {
+            self.samples_before += 1.0;
+            self.slow_share_before +=
+                (slow / all - self.slow_share_before) * (1.0 / self.samples_before).max(0.1);
             return;
         }
-        let usual = self.fleet_before.max(1.0 - SLOW_QUANTILE);
-        // Such a build slows in step with its traffic: at a quarter it shows half of what it does at half.
-        let traffic = if self.alone { 0.5 } else { self.part };
-        let from = SHARED_FROM * (2.0 * traffic).clamp(0.5, 1.0);
-        // Cut at less than what chance does to a few answers, the sum of many sidecars would fall short.
+        let usual = self.slow_share_before.max(1.0 - SLOW_QUANTILE);
+        // Such a build slows the fleet in step with its traffic: at a quarter it shows half of what it does
+        // at half.
+        let traffic = if self.no_earlier_pods { 0.5 } else { self.trial_share };
+        let min_increase = FLEET_SLOW_INCREASE * (2.0 * traffic).clamp(0.5, 1.0);
+        // A bound below the random variation of a few answers would make the sum of many sidecars too small.
         let bound = 1.0 + 2.0 / all.sqrt();
-        let side = ((slow / all - usual - from) / from).clamp(-bound, bound);
-        self.feed(SHARED, side * 2.2 * secs * traffic.max((2.0 * traffic).min(0.5)));
-    }
-
-    /// The room goes by how many answers take half the SLO time: a few costly ones are late on an idle fleet.
-    fn note_room(&mut self, p: usize, op: Op, took: Tenths, wait: Tenths, ending: Ending) {
-        let slo = self.facts.operations[op.0].slo_time;
-        let tardy = match ending {
-            _ if self.now == self.stood_still => return,
-            // The client's haste: what had no time to be tardy tells nothing by being quick either.
-            Ending::Succeeded | Ending::TimedOut if wait < slo.scale(0.5) => return,
-            Ending::Succeeded => took > slo.scale(0.5),
+        let excess = ((slow / all - usual - min_increase) / min_increase).clamp(-bound, bound);
+        self.add_evidence(FLEET_TEST, excess * 2.2 * seconds * traffic.max((2.0 * traffic).min(0.5)));
+    }
+
+    /// Samples an answer for the concurrency limit, which follows the share of late answers: a few costly
+    /// operations are late on an idle fleet too. `wait` is how long the client would have waited from the
+    /// dispatch on.
+    fn sample_for_limit(&mut self, p: usize, op: Op, took: Tenths, wait: Tenths, ending: Ending) {
+        let late_after = self.late_after(op);
+        let late = match ending {
+            _ if self.now == self.stalled_at => return,
+            // If the client does not wait until an answer would be late, an early answer says nothing either.
+            Ending::Succeeded | Ending::TimedOut if wait < late_after => return,
+            Ending::Succeeded => took > late_after,
             Ending::TimedOut | Ending::Full | Ending::NoConnection => true,
             _ => return,
         };
-        let usual = self.usual[self.pods.kind[p].0 * self.facts.operations.len() + op.0].ms;
-        if usual > 0.0 && took > Tenths(0) {
-            self.drag += ((took.0 as f64 / 10.0 / usual).min(20.0) - self.drag) * 0.1;
+        let usual_ms = self.latency_baselines[self.baseline_index(p, op)].mean_ms;
+        if usual_ms > 0.0 && took > Tenths(0) {
+            self.slowdown += ((took.0 as f64 / 10.0 / usual_ms).min(20.0) - self.slowdown) * 0.1;
         }
         let far = usize::from(self.pods.zone[p] != self.facts.zone);
-        self.tardy[far] += (f64::from(tardy) - self.tardy[far]) * 0.1;
-        // What is lost on the way to a few pods is no sign of a full fleet.
+        self.late_share[far] += (f64::from(late) - self.late_share[far]) * 0.1;
+        // Time-outs and failed connections at a few pods do not show that the fleet is full.
         let counts = f64::from(matches!(ending, Ending::Succeeded | Ending::Full));
-        self.pace = (self.pace.0 + counts * f64::from(tardy), self.pace.1 + counts);
-        if self.pace.1 < (0.3 * self.room.min(self.most_open)).max(8.0) {
-            return;
+        self.limit_sample = (self.limit_sample.0 + counts * f64::from(late), self.limit_sample.1 + counts);
+        if self.limit_sample.1 >= (0.3 * self.concurrency_limit.min(self.max_open)).max(8.0) {
+            self.adjust_concurrency_limit();
         }
-        let (tardy, all) = std::mem::take(&mut self.pace);
-        let pinched = std::mem::take(&mut self.pinched);
-        // A small sidecar has eight answers in a second or two: it goes by how far off they are.
-        let over = tardy / all - TARDY;
-        if over > 0.0 {
-            // Where far pods do better the near ones' lateness is first answered by going there.
-            let spills = self.near[0] < self.earlier.len() && self.tardy[0] > self.tardy[1] + SICK;
-            let cut = if spills { 0.07 } else { 0.07 + 0.6 * over };
-            self.room = (self.room.min(self.most_open + 1.0) * (1.0 - cut)).max(0.3);
-        } else if pinched || self.open as f64 > self.room * 0.6 {
-            self.room = self.room * (1.04 - 0.2 * over) + 0.2 - over;
+    }
+
+    /// Moves the limit in proportion to how far the share of late answers is from its maximum, since a
+    /// sidecar with little traffic takes a second or two to gather eight answers.
+    fn adjust_concurrency_limit(&mut self) {
+        let (late, all) = std::mem::take(&mut self.limit_sample);
+        let limit_reached = std::mem::take(&mut self.limit_reached);
+        let excess = late / all - MAX_LATE_SHARE;
+        if excess > 0.0 {
+            // If far pods do better, the first answer to late near pods is to dispatch there.
+            let can_spill = self.near_pods[0] < self.earlier_pods.len()
+                && self.late_share[0] > self.late_share[1] + UNHEALTHY_MARGIN;
+            let cut = if can_spill { 0.07 } else { 0.07 + 0.6 * excess };
+            self.concurrency_limit = (self.concurrency_limit.min(self.max_open + 1.0) * (1.0 - cut)).max(0.3);
+        } else if limit_reached || self.open as f64 > self.concurrency_limit * 0.6 {
+            self.concurrency_limit = self.concurrency_limit * (1.04 - 0.2 * excess) + 0.2 - excess;
         }
     }
 
-    /// The chance that an answer comes while it is waited for, as answers are now.
-    fn hope(&self, op: Op, wait: Tenths) -> f64 {
-        let ms = self.usual[op.0].ms * self.drag.max(1.0);
+    /// Probability that an answer arrives within `wait`, at the current answer times.
+    fn answer_probability(&self, op: Op, wait: Tenths) -> f64 {
+        let ms = self.latency_baselines[op.0].mean_ms * self.slowdown.max(1.0);
         if ms > 0.0 {
             1.0 - (-(wait.0 as f64 / 10.0) / ms).exp()
         } else {
@@ -744,68 +1030,90 @@
         }
     }
 
-    fn grade(&mut self, op: Op) -> f64 {
-        let work = if self.facts.billed_value_per_work { 1.0 } else { self.usual[op.0].ms.max(1.0) };
+    /// Factor on the concurrency limit by which operations of more value for their work are throttled later.
+    fn value_factor(&mut self, op: Op) -> f64 {
+        let work = if self.facts.billed_value_per_work {
+            1.0
+        } else {
+            self.latency_baselines[op.0].mean_ms.max(1.0)
+        };
         let density = self.facts.operations[op.0].billed_value / work;
-        self.value_density += (density - self.value_density) * 0.02;
-        (density / self.value_density.max(1e-9)).sqrt().clamp(0.7, 1.3)
+        self.mean_value_density += (density - self.mean_value_density) * 0.02;
+        (density / self.mean_value_density.max(1e-9)).sqrt().clamp(0.7, 1.3)
     }
 
-    fn pulse(&mut self) {
-        let dt = (self.now - self.pulse_at + PULSE).as_secs().max(0.05);
-        self.pulse_at = self.now + PULSE;
+    /// Periodic update of all figures that change with time.
+    fn tick(&mut self) {
+        let dt = (self.now - self.next_tick + TICK_INTERVAL).as_secs().max(0.05);
+        self.next_tick = self.now + TICK_INTERVAL;
         self.ready.append(&mut self.waiting);
-        // Small sidecars keep to few pods, or they would know none and open a connection for each dispatch.
-        self.few = self.rate.max(6.0) as usize;
-        let up = (self.now - self.awake_since).as_secs().max(1.0);
-        self.rate += (self.succeeded_since_pulse / dt - self.rate) * (dt / 15.0).max(dt / up).min(1.0);
-        self.succeeded_since_pulse = 0.0;
-        self.measure();
-        self.part = self.trial_part();
-        // Traffic may have moved here, or the zone be ill: small sidecars see no lead but in time.
-        let gain = self.tardy[0] - self.tardy[1] - self.facts.cross_zone_price - 0.05;
-        self.spill = (self.spill + 0.5 * gain * dt).clamp(0.0, 0.8);
-        self.tardy[1] *= 1.0 - 0.1 * dt;
-        let well = |p: &&usize| self.pods.lame[**p] < SICK / 2.0;
-        self.some_well = self.earlier.iter().filter(well).count() * 3 >= self.earlier.len();
-        // Who seldom meets a pod must learn from less, or would not know it before the trouble is over.
-        self.memory = (6.0 * self.rate_a_pod).clamp(4.0, 40.0);
-        let fade = 1.0 - 0.2 * dt * self.rate_a_pod / self.memory;
-        self.pods.lame.iter_mut().for_each(|lame| *lame *= fade);
-        // Work that was given up goes on for about as long as an answer takes now.
-        let usual = self.usual.iter().map(|u| u.ms).fold(50.0, f64::max);
-        self.lost = self.pods.ebb((-dt * 500.0 / usual).exp());
-        self.most_open *= 1.0 - 0.15 * dt;
-        self.weigh_fleet();
+        // A sidecar with little traffic uses few pods; spread over all it would learn about none of them and
+        // open a connection for each dispatch.
+        self.subset_size = self.rate.max(6.0) as usize;
+        let uptime = (self.now - self.started_at).as_secs().max(1.0);
+        self.rate += (self.succeeded_since_tick / dt - self.rate) * (dt / 15.0).max(dt / uptime).min(1.0);
+        self.succeeded_since_tick = 0.0;
+        self.update_fleet_figures();
+        self.trial_share = self.compute_trial_share();
+        // Traffic may have moved to this zone, or the zone may have a fault. A sidecar with little traffic
+        // cannot see that from the load of pods, only over time from late answers.
+        let gain = self.late_share[0] - self.late_share[1] - self.facts.cross_zone_price - 0.05;
+        self.spill_share = (self.spill_share + 0.5 * gain * dt).clamp(0.0, 0.8);
+        self.late_share[1] *= 1.0 - 0.1 * dt;
+        self.update_pod_lateness(dt);
+        // A pod goes on executing what was given up for about as long as an answer takes now.
+        let longest_mean_ms = self.latency_baselines.iter().map(|b| b.mean_ms).fold(50.0, f64::max);
+        self.abandoned = self.pods.decay_abandoned((-dt * 500.0 / longest_mean_ms).exp());
+        self.max_open *= 1.0 - 0.15 * dt;
+        self.evaluate_fleet_sample();
         if self.facts.sticky_keys {
-            let share = (0.8 * self.cap()).min(0.9 * self.part);
-            self.lanes_open = if share < 0.8 { self.lanes_within(share) } else { LANES };
-            self.lanes.iter_mut().for_each(|n| *n *= 0.995);
+            let share = (0.8 * self.cap()).min(0.9 * self.trial_share);
+            self.trial_key_buckets = if share < 0.8 { self.key_buckets_within(share) } else { KEY_BUCKETS };
+            self.key_bucket_traffic.iter_mut().for_each(|traffic| *traffic *= 0.995);
         }
     }
 
-    /// What was told of the build, where it has enough of the pods to slow a whole fleet.
-    fn weighty(&self) -> Option<Told> {
-        let pods = (self.earlier.len() + self.trial.len()) as f64;
-        let slight = |t: &Told| t.phase == Phase::Trial && (self.trial.len() as f64) < SLIGHT * pods;
-        self.news().filter(|t| t.phase != Phase::Withdrawn && !slight(t))
+    /// Lets the late shares of pods decay, at a pace given by how often this sidecar meets a pod.
+    fn update_pod_lateness(&mut self, dt: f64) {
+        let is_healthy = |p: &&usize| self.pods.late_share[**p] < UNHEALTHY_MARGIN / 2.0;
+        let healthy = self.earlier_pods.iter().filter(is_healthy).count();
+        self.some_pods_healthy = healthy * 3 >= self.earlier_pods.len();
+        // With few answers from each pod the share must follow from fewer, or a fault would be over before it
+        // is known.
+        self.late_share_window = (6.0 * self.rate_per_pod).clamp(4.0, 40.0);
+        let decay = 1.0 - 0.2 * dt * self.rate_per_pod / self.late_share_window;
+        self.pods.late_share.iter_mut().for_each(|late_share| *late_share *= decay);
+    }
+
+    /// The release under judgement, if its build has enough of the pods to slow the whole fleet.
+    fn release_affecting_fleet(&self) -> Option<ReleaseState> {
+        let pods = (self.earlier_pods.len() + self.trial_pods.len()) as f64;
+        let too_few_pods = |r: &ReleaseState| {
+            r.phase == Phase::Trial && (self.trial_pods.len() as f64) < MIN_POD_SHARE_TO_SLOW_FLEET * pods
+        };
+        self.judged_release().filter(|r| r.phase != Phase::Withdrawn && !too_few_pods(r))
     }
 
-    fn voting(&self) -> Option<(Tenths, Told)> {
-        Some((Tenths::ms(1500).scale(self.turn? as f64), self.news()?))
+    /// How long this sidecar leaves the vote to others, and the release to vote on; `None` if it does not
+    /// vote.
+    fn vote_delay_and_release(&self) -> Option<(Tenths, ReleaseState)> {
+        Some((VOTER_DELAY.scale(self.voter_rank? as f64), self.judged_release()?))
     }
 
-    fn cast(&mut self, host: &mut dyn Host, told: Told, verdict: Verdict) -> bool {
-        let vote = (told.build, told.stage, verdict);
-        if self.ballot.is_some_and(|(b, s, v, until)| (b, s, v) == vote && self.now < until) {
+    /// Casts the vote unless the same one was cast lately; returns whether it did.
+    fn cast_vote(&mut self, host: &mut dyn Host, release: ReleaseState, verdict: Verdict) -> bool {
+        let ReleaseState { build, stage, .. } = release;
+        let is_same = |b: Ballot| (b.build, b.stage, b.verdict) == (build, stage, verdict);
+        if self.ballot.is_some_and(|b| is_same(b) && self.now < b.repeat_at) {
             return false;
         }
-        self.ballot = Some((told.build, told.stage, verdict, self.now + self.facts.vote_timeout));
+        self.ballot = Some(Ballot { build, stage, verdict, repeat_at: self.now + self.facts.vote_timeout });
         host.log(&format!(
-            "vote {verdict:?} on build {} stage {}: erred/slow/wrong/shared {:.1?}, {} outcomes known",
-            told.build.0, told.stage, self.totals, self.seen
+            "vote {verdict:?} on build {} stage {stage}: error/latency/wrong-answer/fleet tests {:.1?}, \
+             {} outcomes known",
+            build.0, self.totals, self.known_outcomes
         ));
-        host.vote(told.build, told.stage, verdict);
+        host.vote(build, stage, verdict);
         true
     }
 }
