--- a/crates/stagepond-leadership/src/ids.rs
+++ b/crates/stagepond-leadership/src/ids.rs
@@ -1,63 +1,75 @@
-//! The ids that leadership speaks of, each its own type. It holds no state.
+//! Identifiers used by leadership, each with a type of its own.
 
 use serde::{Deserialize, Serialize};
 pub use stagepond::host::Tenths;
 
-/// Position among the instances of the tier; the same after a restart.
+/// Index of an instance within the tier. It stays the same across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Seat(pub u16);
 
-/// One process at a seat. A later process at the same seat has a higher one; 0 stands for "not known".
+/// Identifies one process at a seat. A later process at the same seat has a higher value; 0 means unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Life(pub u64);
 
-/// The memory that promises were kept in: the life that began it. A process without a disk begins a new one
-/// at each start; one that finds its promises again goes on under the old one.
+/// Identifies the storage that holds a process's persistent state, by the life of the process that created
+/// it.
+///
+/// A process without a disk creates a new one at each start. A process that finds its stored state on disk
+/// continues with the old identifier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Memory(pub u64);
 
-/// Who votes is a memory at a seat, not a seat: a process that forgot what it promised is another voter, and
-/// so can't break the promise.
+/// A voting member: a memory at a seat, not the seat alone.
+///
+/// A process that lost its term and vote counts as a different voter, so it cannot vote twice in a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Voter {
     pub seat: Seat,
     pub memory: Memory,
 }
 
-/// The founding that a term belongs to. Later ones are higher, also after all memory was lost: none is lower
-/// than the time of day, in ms, of the process that asks for it.
+/// Identifies the bootstrap that a term follows. Later bootstraps have higher eras.
+///
+/// An era is never below the life, in ms, of the process that starts the bootstrap, which is taken from the
+/// time of day. Eras therefore rise even if every instance lost its state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
-/// Raft's term (Ongaro and Ousterhout 2014, section 5.1) with the era of the founding above its lowest
-/// [`TERM_BITS`] bits: all terms of a later era are later.
+/// Raft's term (Ongaro and Ousterhout 2014, section 5.1).
+///
+/// The bits above the lowest [`TERM_BITS`] hold the era, so every term of a later era is a later term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Term(pub u64);
 
-/// A million terms in an era; past that the next era begins by itself.
+/// Bits of a term that count within its era: about a million terms, after which the count carries into the
+/// next era.
 pub const TERM_BITS: u32 = 20;
 
 impl Term {
-    /// The first term of an era, in which the founding itself names the leader.
-    pub fn founding(era: Era) -> Term {
+    /// The first term of an era. Its leader is named by the bootstrap, not elected.
+    pub fn first_of_era(era: Era) -> Term {
         Term((era.0 << TERM_BITS) | 1)
     }
+    /// The era that this term belongs to.
     pub fn era(self) -> Era {
         Era(self.0 >> TERM_BITS)
     }
-    pub fn in_era(self) -> u64 {
+    /// The term counted from the start of its era.
+    pub fn number_in_era(self) -> u64 {
         self.0 & ((1 << TERM_BITS) - 1)
     }
+    /// The term after this one.
     pub fn next(self) -> Term {
         Term(self.0 + 1)
     }
 }
 
-/// Place of a decree in the record, from 1 on without gaps.
+/// Raft's log index: the position of an entry in the replicated log, starting at 1, without gaps.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Number(pub u64);
 
 impl Number {
+    /// The position after this one.
     pub fn next(self) -> Number {
         Number(self.0 + 1)
     }
--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -1,174 +1,208 @@
-//! All of leadership behind one step function: a datagram, a moment, a promise that is kept or a command goes
-//! in, effects come out. It owns the order of things within a step; it must never read a clock or draw from
-//! anything but its seed: equal inputs give equal effects.
+//! All of leadership behind one step function.
+//!
+//! A datagram, the passing of time, a completed write or a command goes in; effects come out. The order of
+//! work within a step is fixed here. No clock is read and all random numbers come from the seed, so equal
+//! inputs give equal effects.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
 use crate::bounds::Bounds;
-use crate::council::{Council, Event, Promises, Refusal};
 use crate::ids::*;
-use crate::mandate::Mandate;
+use crate::lease::LeaderLease;
+use crate::log::{Command, Entry};
 use crate::members::Members;
 use crate::planted::{Fault, Planted};
-use crate::record::{Decree, Entry};
+use crate::raft::{CommandError, Event, PersistentState, RaftNode};
 use crate::seal::{Dropped, Key, Keys, Seals};
 use crate::wire::{Gossip, Health, Message};
 
+/// What the host tells an instance.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
+    /// A datagram from another instance, as received.
     Datagram(&'a [u8]),
     /// Time has passed.
     Tick,
-    /// The promises of this number are where a crash can't take them.
-    Kept(u64),
-    Command(Decree),
-    /// Hand the lead to that seat.
-    Transfer(Seat),
-    /// A planned end.
+    /// The persistent state of this version, and of all earlier ones, survives a crash.
+    Persisted(u64),
+    /// A command for the replicated log.
+    Command(Command),
+    /// Transfer leadership to this seat.
+    TransferLeadership(Seat),
+    /// The instance is about to shut down.
     Leave,
-    /// A new key seals from now on; the one before is taken until then.
-    NewKey {
-        key: Key,
-        old_until: Tenths,
-    },
-    /// Another key is taken until then, and does not seal.
-    AcceptKey {
-        key: Key,
-        until: Tenths,
-    },
+    /// Seal with a new key from now on; datagrams sealed with the previous key are accepted until
+    /// `old_until`.
+    NewKey { key: Key, old_until: Tenths },
+    /// Accept datagrams sealed with this key until `until`, without sealing with it.
+    AcceptKey { key: Key, until: Tenths },
 }
 
-#[derive(Clone, Debug, PartialEq)]
+/// What an instance asks of the host or reports to it.
+#[derive(Clone, PartialEq)]
 pub enum Effect {
-    Send {
-        to: Seat,
-        bytes: Vec<u8>,
-    },
-    /// To be written whole or not at all, flushed, and then answered by `Kept`.
-    Keep {
-        number: u64,
-        promises: Vec<u8>,
-    },
-    Leads(Mandate),
-    SteppedDown {
-        term: Term,
-        why: &'static str,
-    },
-    /// Told once for each decree and process, in order. Who leads gets leave to act on it; nobody else does.
-    InForce {
-        entry: Entry,
-        mandate: Option<Mandate>,
-    },
-    /// A whole state was taken over: what is in force is to be looked up.
-    CaughtUp {
-        number: Number,
-    },
-    Founded {
-        era: Era,
-    },
-    Refused {
-        decree: Decree,
-        why: Refusal,
-    },
-    Member {
-        seat: Seat,
-        health: Health,
-    },
+    /// Send a datagram to the instance at a seat.
+    Send { to: Seat, bytes: Vec<u8> },
+    /// Write this state atomically, flush it, and answer with [`Input::Persisted`].
+    Persist { version: u64, state: Vec<u8> },
+    /// This instance leads, with the first lease of its term.
+    BecameLeader(LeaderLease),
+    /// This instance no longer leads.
+    SteppedDown { term: Term, reason: &'static str },
+    /// An entry was committed. Reported in log order, once for each entry and process. Only the leader gets a
+    /// lease to act on it.
+    Committed { entry: Entry, lease: Option<LeaderLease> },
+    /// A snapshot was installed: the host must read the committed state again.
+    SnapshotInstalled { number: Number },
+    /// An era began: the whole pool agreed on a new configuration.
+    Bootstrapped { era: Era },
+    /// A command or a leadership transfer was not accepted.
+    Rejected { command: Command, reason: CommandError },
+    /// The health of another instance changed.
+    MemberChanged { seat: Seat, health: Health },
 }
 
-/// How things stand, for people and programs that look.
+/// Prints the names that `replay-leadership` shows; they are part of its output and stay as they are.
+impl fmt::Debug for Effect {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Effect::Send { to, bytes } => {
+                f.debug_struct("Send").field("to", to).field("bytes", bytes).finish()
+            }
+            Effect::Persist { version, state } => {
+                f.debug_struct("Keep").field("number", version).field("promises", state).finish()
+            }
+            Effect::BecameLeader(lease) => f.debug_tuple("Leads").field(lease).finish(),
+            Effect::SteppedDown { term, reason } => {
+                f.debug_struct("SteppedDown").field("term", term).field("why", reason).finish()
+            }
+            Effect::Committed { entry, lease } => {
+                f.debug_struct("InForce").field("entry", entry).field("mandate", lease).finish()
+            }
+            Effect::SnapshotInstalled { number } => {
+                f.debug_struct("CaughtUp").field("number", number).finish()
+            }
+            Effect::Bootstrapped { era } => f.debug_struct("Founded").field("era", era).finish(),
+            Effect::Rejected { command, reason } => {
+                f.debug_struct("Refused").field("decree", command).field("why", reason).finish()
+            }
+            Effect::MemberChanged { seat, health } => {
+                f.debug_struct("Member").field("seat", seat).field("health", health).finish()
+            }
+        }
+    }
+}
+
+/// A summary of an instance's state for operators and monitoring.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
     pub seat: Seat,
     pub life: Life,
     pub term: Term,
+    /// The leader of the term, if known.
     pub leader: Option<Seat>,
-    pub leads: bool,
-    pub in_force: (Term, Number),
+    pub is_leader: bool,
+    /// Term and position of the last committed entry.
+    pub committed: (Term, Number),
     pub voters: Vec<Voter>,
-    pub changing: bool,
+    /// Whether a membership change is in progress.
+    pub voters_changing: bool,
+    /// Members by health; `dead` includes those that left.
     pub alive: usize,
     pub suspect: usize,
     pub dead: usize,
+    /// Datagrams dropped since the start, by reason.
     pub dropped: BTreeMap<Dropped, u64>,
 }
 
+/// One process's part in leadership.
 pub struct Instance {
     bounds: Bounds,
     seals: Seals,
     members: Members,
-    council: Council,
-    /// The host's clock as last seen, and what is added to it so that time here never goes back.
-    seen: Tenths,
-    ahead: Tenths,
+    raft: RaftNode,
+    /// The host's clock at the last input.
+    last_seen: Tenths,
+    /// Added to the host's clock so that the time inside the instance never goes back.
+    clock_offset: Tenths,
     planted: Planted,
-    /// When a process that writes to an earlier one here may be told so again.
-    welcomed: BTreeMap<Seat, Tenths>,
+    /// For each seat, when the next `Welcome` may be sent to a process that addressed an earlier process
+    /// here.
+    next_welcome_at: BTreeMap<Seat, Tenths>,
 }
 
-/// What a start needs. `promises` are those found from an earlier process, where there is a disk.
-pub struct Start {
+/// The parameters of a new [`Instance`].
+pub struct InstanceConfig {
     pub now: Tenths,
     pub seat: Seat,
-    /// Higher than that of any earlier process here: the time of day will do.
+    /// Must be higher than that of any earlier process at this seat; the time of day serves.
     pub life: Life,
+    /// Seeds the random generators.
     pub seed: u64,
     pub bounds: Bounds,
     pub keys: Keys,
-    pub promises: Option<Promises>,
+    /// The state that an earlier process wrote to disk, if there is a disk.
+    pub persisted: Option<PersistentState>,
     pub planted: Planted,
 }
 
 impl Instance {
-    pub fn new(start: Start) -> Instance {
-        let Start { now, seat, life, seed, bounds, keys, promises, planted } = start;
-        let fresh = Promises::none(seat, Memory(life.0));
-        let promises = match promises.filter(|p| p.seat == seat) {
-            Some(promises) if planted.has(Fault::TermForgotten) => {
-                Promises { memory: promises.memory, ..fresh }
+    /// Starts an instance. Persisted state of another seat is ignored.
+    pub fn new(config: InstanceConfig) -> Instance {
+        let InstanceConfig { now, seat, life, seed, bounds, keys, persisted, planted } = config;
+        let empty = PersistentState::empty(seat, Memory(life.0));
+        let persistent = match persisted.filter(|p| p.seat == seat) {
+            Some(persisted) if planted.has(Fault::TermForgotten) => {
+                PersistentState { memory: persisted.memory, ..empty }
+            }
+            Some(persisted) if planted.has(Fault::VoteForgotten) => {
+                PersistentState { voted_for: None, ..persisted }
             }
-            Some(promises) if planted.has(Fault::VoteForgotten) => Promises { voted: None, ..promises },
-            Some(promises) => promises,
-            None => fresh,
+            Some(persisted) => persisted,
+            None => empty,
         };
         Instance {
             seals: Seals::new(seat, life, bounds.seats, keys),
-            members: Members::new(now, seat, life, promises.memory, &bounds, seed),
-            council: Council::new(now, life, promises, &bounds, seed, planted),
+            members: Members::new(now, seat, life, persistent.memory, &bounds, seed),
+            raft: RaftNode::new(now, life, persistent, &bounds, seed, planted),
             bounds,
-            seen: now,
-            ahead: Tenths(0),
+            last_seen: now,
+            clock_offset: Tenths(0),
             planted,
-            welcomed: BTreeMap::new(),
+            next_welcome_at: BTreeMap::new(),
         }
     }
 
-    pub fn council(&self) -> &Council {
-        &self.council
+    /// The Raft state of this instance.
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
+    /// What this instance knows of the other members.
     pub fn members(&self) -> &Members {
         &self.members
     }
 
-    /// Leave to act at this moment, on the host's clock.
-    pub fn mandate(&self, now: Tenths) -> Option<Mandate> {
-        if now < self.seen {
+    /// The lease at `now`, on the host's clock; `None` if this instance may not act.
+    pub fn lease(&self, now: Tenths) -> Option<LeaderLease> {
+        if now < self.last_seen {
             return None;
         }
-        let m = self.council.mandate(now + self.ahead)?;
-        Some(Mandate::new(m.term(), m.holder(), m.number(), m.until() - self.ahead, self.planted))
+        let lease = self.raft.lease(now + self.clock_offset)?;
+        Some(self.on_host_clock(lease))
     }
 
+    /// A summary of the current state.
     pub fn status(&self) -> Status {
-        let voters = self.council.voters();
+        let voters = self.raft.voters();
         Status {
-            seat: self.council.me().seat,
+            seat: self.raft.id().seat,
             life: self.members.life(),
-            term: self.council.term(),
-            leader: self.council.leader(),
-            leads: self.council.leads(),
-            in_force: self.council.in_force(),
-            changing: voters.change.is_some(),
+            term: self.raft.term(),
+            leader: self.raft.leader(),
+            is_leader: self.raft.is_leader(),
+            committed: self.raft.committed(),
+            voters_changing: voters.change.is_some(),
             voters: voters.now,
             alive: self.members.count(Health::Alive),
             suspect: self.members.count(Health::Suspect),
@@ -177,164 +211,179 @@
         }
     }
 
-    /// When a `Tick` is to come at the latest, on the host's clock.
+    /// The latest time, on the host's clock, at which the next [`Input::Tick`] must arrive.
     pub fn next_due(&self) -> Tenths {
-        let due = self.members.next_due().min(self.council.next_due()) - self.ahead;
-        // Any longer silence looks as though this process had stood still.
-        due.min(self.seen + Tenths(self.bounds.gap().0 / 2))
+        let due = self.members.next_due().min(self.raft.next_due()) - self.clock_offset;
+        // A longer silence would be taken for a pause of this process.
+        due.min(self.last_seen + Tenths(self.bounds.gap().0 / 2))
     }
 
+    /// Processes one input at `now`, on the host's clock.
     pub fn step(&mut self, now: Tenths, input: Input) -> Vec<Effect> {
         let mut effects = Vec::new();
-        let now = self.look_up(now);
-        let mut out = Vec::new();
-        // What time has ended is over before anything new is heeded.
-        self.council.tick(now, &self.members);
+        let now = self.advance_clock(now);
+        let mut outbox = Vec::new();
+        // Leases and timeouts that have expired must take effect before the input does.
+        self.raft.tick(now, &self.members);
         match input {
-            Input::Datagram(bytes) => self.datagram(now, bytes, &mut out),
+            Input::Datagram(bytes) => self.on_datagram(now, bytes, &mut outbox),
             Input::Tick => {}
-            Input::Kept(number) => self.council.keep(now, number),
-            Input::Command(decree) => {
-                if let Err(why) = self.council.command(now, decree.clone()) {
-                    effects.push(Effect::Refused { decree, why });
+            Input::Persisted(version) => self.raft.on_persisted(now, version),
+            Input::Command(command) => {
+                if let Err(reason) = self.raft.propose(now, command.clone()) {
+                    effects.push(Effect::Rejected { command, reason });
                 }
             }
-            Input::Transfer(seat) => {
-                if let Err(why) = self.council.transfer(now, seat) {
-                    effects.push(Effect::Refused { decree: Decree::Opening, why });
+            Input::TransferLeadership(seat) => {
+                if let Err(reason) = self.raft.transfer_leadership(now, seat) {
+                    effects.push(Effect::Rejected { command: Command::Opening, reason });
                 }
             }
             Input::Leave => {
-                self.council.leave(now);
-                let record = self.council.in_force();
-                self.members.leave(record, &mut out);
+                self.raft.transfer_before_leaving(now);
+                let committed = self.raft.committed();
+                self.members.leave(committed, &mut outbox);
             }
-            Input::NewKey { key, old_until } => self.seals.keys().change(key, old_until + self.ahead),
-            Input::AcceptKey { key, until } => self.seals.keys().accept(key, until + self.ahead),
+            Input::NewKey { key, old_until } => {
+                self.seals.keys().change(key, old_until + self.clock_offset);
+            }
+            Input::AcceptKey { key, until } => self.seals.keys().accept(key, until + self.clock_offset),
         }
-        let record = self.council.in_force();
+        let committed = self.raft.committed();
         if now >= self.members.next_due() {
-            self.members.tick(now, record, &mut out);
+            self.members.tick(now, committed, &mut outbox);
         }
-        if now >= self.council.next_due() {
-            self.council.tick(now, &self.members);
+        if now >= self.raft.next_due() {
+            self.raft.tick(now, &self.members);
         }
-        let (keep, sent) = self.council.settle(now);
-        out.extend(sent);
-        if let Some(number) = keep {
-            effects.push(Effect::Keep { number, promises: self.council.promises().encode() });
+        let (unpersisted, messages) = self.raft.finish_step(now);
+        outbox.extend(messages);
+        if let Some(version) = unpersisted {
+            effects.push(Effect::Persist { version, state: self.raft.persistent_state().encode() });
         }
-        for (to, message) in out {
-            if usize::from(to.0) < usize::from(self.bounds.seats) && to != self.council.me().seat {
+        for (to, message) in outbox {
+            if usize::from(to.0) < usize::from(self.bounds.seats) && to != self.raft.id().seat {
                 effects.push(self.sealed(to, &message));
             }
         }
-        let events: Vec<Event> = self.council.events.drain(..).collect();
-        effects.extend(events.into_iter().map(|event| self.told(event)));
+        let events: Vec<Event> = self.raft.events.drain(..).collect();
+        effects.extend(events.into_iter().map(|event| self.effect_of(event)));
         let changes: Vec<_> = self.members.changes.drain(..).collect();
         for news in changes {
             self.seals.told(news.seat, news.life);
-            effects.push(Effect::Member { seat: news.seat, health: news.health });
+            effects.push(Effect::MemberChanged { seat: news.seat, health: news.health });
         }
         effects
     }
 
     fn sealed(&mut self, to: Seat, message: &Message) -> Effect {
-        // To a process that is not known only this can be said.
+        // While the life of the recipient is unknown, only `Hello` and `Welcome` may be sent to it.
         let unknown = self.seals.life_of(to) == Life(0);
         let hello = unknown && !matches!(message, Message::Welcome { .. });
         let body = if hello { Message::Hello.encode() } else { message.encode() };
         Effect::Send { to, bytes: self.seals.seal(to, &body) }
     }
 
-    fn told(&self, event: Event) -> Effect {
-        let outside =
-            |m: Mandate| Mandate::new(m.term(), m.holder(), m.number(), m.until() - self.ahead, self.planted);
+    /// Converts the expiry of a lease from the instance's clock to the host's.
+    fn on_host_clock(&self, lease: LeaderLease) -> LeaderLease {
+        let expires_at = lease.expires_at() - self.clock_offset;
+        LeaderLease::new(lease.term(), lease.holder(), lease.commit_number(), expires_at, self.planted)
+    }
+
+    fn effect_of(&self, event: Event) -> Effect {
         match event {
-            Event::Leads(mandate) => Effect::Leads(outside(mandate)),
-            Event::SteppedDown { term, why } => Effect::SteppedDown { term, why },
-            Event::InForce { entry, mandate } => Effect::InForce { entry, mandate: mandate.map(outside) },
-            Event::CaughtUp { number } => Effect::CaughtUp { number },
-            Event::Founded { era } => Effect::Founded { era },
+            Event::BecameLeader(lease) => Effect::BecameLeader(self.on_host_clock(lease)),
+            Event::SteppedDown { term, reason } => Effect::SteppedDown { term, reason },
+            Event::Committed { entry, lease } => {
+                Effect::Committed { entry, lease: lease.map(|lease| self.on_host_clock(lease)) }
+            }
+            Event::SnapshotInstalled { number } => Effect::SnapshotInstalled { number },
+            Event::Bootstrapped { era } => Effect::Bootstrapped { era },
         }
     }
 
-    /// The time inside, which never goes back. How much passed in a step of the clock, or while this process
-    /// stood still, is not known: what rests on it begins anew.
-    fn look_up(&mut self, now: Tenths) -> Tenths {
-        let (back, gap) = (now < self.seen, now > self.seen + self.bounds.gap());
-        if back {
-            self.ahead = self.ahead + (self.seen - now);
+    /// Converts the host's time to the instance's time, which never goes back.
+    ///
+    /// If the clock was stepped back, or no input came for longer than the gap in the settings, the time that
+    /// really passed is unknown, and all timers that depend on it start again.
+    fn advance_clock(&mut self, now: Tenths) -> Tenths {
+        let went_back = now < self.last_seen;
+        let gap = now > self.last_seen + self.bounds.gap();
+        if went_back {
+            self.clock_offset = self.clock_offset + (self.last_seen - now);
         }
-        self.seen = now;
-        let inside = now + self.ahead;
-        if back || gap {
-            self.council.stood_still(inside, back);
+        self.last_seen = now;
+        let inside = now + self.clock_offset;
+        if went_back || gap {
+            self.raft.on_clock_anomaly(inside, went_back);
             self.members.stood_still(inside);
         }
         inside
     }
 
-    fn datagram(&mut self, now: Tenths, bytes: &[u8], out: &mut Vec<(Seat, Message)>) {
+    fn on_datagram(&mut self, now: Tenths, bytes: &[u8], outbox: &mut Vec<(Seat, Message)>) {
         let Some(opened) = self.seals.open(now, bytes) else { return };
         let (from, life, to_me) = (opened.from, opened.life, opened.to_me);
         let Some(message) = Message::decode(opened.body) else { return self.seals.count(Dropped::Garbled) };
         if !to_me {
-            return self.stranger(now, from, life, message, out);
+            return self.on_unknown_process(now, from, life, message, outbox);
         }
         self.members.heard(now, from, life);
         match message {
-            Message::Hello => out.push((from, Message::Welcome { highest: life })),
+            Message::Hello => outbox.push((from, Message::Welcome { highest: life })),
             Message::Welcome { .. } => {
-                let record = self.council.in_force();
-                self.members.ping(from, 0, record, out);
+                let committed = self.raft.committed();
+                self.members.ping(from, 0, committed, outbox);
             }
             Message::Ping { nonce, gossip } => {
-                self.gossip(now, from, gossip);
-                let record = self.council.in_force();
-                self.members.ping(from, nonce, record, out);
+                self.on_gossip(now, from, gossip);
+                let committed = self.raft.committed();
+                self.members.ping(from, nonce, committed, outbox);
             }
             Message::Ack { nonce, gossip } => {
-                self.gossip(now, from, gossip);
-                let record = self.council.in_force();
-                self.members.ack(now, from, nonce, record, out);
+                self.on_gossip(now, from, gossip);
+                let committed = self.raft.committed();
+                self.members.ack(now, from, nonce, committed, outbox);
             }
             Message::PingFor { nonce, target, gossip } => {
-                self.gossip(now, from, gossip);
-                let record = self.council.in_force();
-                self.members.ping_for(now, from, nonce, target, record, out);
+                self.on_gossip(now, from, gossip);
+                let committed = self.raft.committed();
+                self.members.ping_for(now, from, nonce, target, committed, outbox);
             }
-            message => self.council.hear(now, from, message),
+            message => self.raft.on_message(now, from, message),
         }
     }
 
-    /// It does not know this process, or is not known here any more: each is told, now and then, and nothing
-    /// else comes of it, as what it says may be an old datagram that somebody kept.
-    fn stranger(
-        &mut self, now: Tenths, from: Seat, life: Life, message: Message, out: &mut Vec<(Seat, Message)>,
+    /// Handles a message from a process that does not know this one, or that is no longer known here.
+    ///
+    /// Such a message may be an old datagram that was recorded and replayed, so its content is ignored. Its
+    /// sender gets a `Welcome` with the highest life known, at a limited rate.
+    fn on_unknown_process(
+        &mut self, now: Tenths, from: Seat, life: Life, message: Message, outbox: &mut Vec<(Seat, Message)>,
     ) {
         let known = self.seals.life_of(from);
         match message {
             Message::Welcome { highest } if highest >= self.members.life() && life == known => {
-                // A clock that went back while this one was down: its life must pass that of the one before.
+                // The clock went back between two processes at this seat: the new life must exceed the old
+                // one.
                 let life = Life(highest.0 + 1);
                 self.seals.reborn(life);
                 self.members.reborn(life);
             }
             Message::Welcome { .. } => {}
-            _ if self.welcomed.get(&from).is_none_or(|at| now >= *at) => {
-                self.welcomed.insert(from, now + Tenths(self.bounds.round_trip.0 / 2));
+            _ if self.next_welcome_at.get(&from).is_none_or(|at| now >= *at) => {
+                self.next_welcome_at.insert(from, now + Tenths(self.bounds.round_trip.0 / 2));
                 self.seals.told(from, life);
-                out.push((from, Message::Welcome { highest: self.seals.life_of(from) }));
+                outbox.push((from, Message::Welcome { highest: self.seals.life_of(from) }));
             }
             _ => {}
         }
     }
 
-    fn gossip(&mut self, now: Tenths, from: Seat, gossip: Gossip) {
+    fn on_gossip(&mut self, now: Tenths, from: Seat, gossip: Gossip) {
         for news in gossip.news {
             self.members.news(now, news);
         }
-        self.council.hears_of(now, from, gossip.record);
+        self.raft.on_peer_commit(now, from, gossip.record);
     }
 }
--- a/crates/stagepond-leadership/src/lib.rs
+++ b/crates/stagepond-leadership/src/lib.rs
@@ -1,17 +1,29 @@
-//! Leadership: which instance may act for all, until when, and what was decided. Inputs and time in, effects
-//! out: no socket, file, clock, thread, global or hash order. `docs/leadership.md` has the reasons.
+//! Leader election, cluster membership and a replicated log for the instances of the tier.
 //!
-//! The parts, from below: [`ids`], [`bounds`] (settings as typed values), [`record`] (decrees), [`wire`]
-//! (messages), [`seal`] (whose datagram it is), [`members`] (who is there), [`council`] (who leads and what is
-//! decided), [`mandate`] (leave to act), [`instance`] (all of them behind one step function).
+//! The crate does no I/O: inputs and the current time go in, effects come out. It uses no sockets, files,
+//! clocks, threads, global state or iteration in hash order, so equal inputs give equal effects.
+//! `docs/leadership.md` explains the design.
+//!
+//! The modules, from the lowest layer up:
+//!
+//! - [`ids`] - identifiers
+//! - [`bounds`] - validated settings
+//! - [`log`] - the replicated log and its snapshot
+//! - [`wire`] - messages between instances
+//! - [`seal`] - authentication of datagrams
+//! - [`members`] - failure detection (SWIM)
+//! - [`raft`] - elections, leases and replication
+//! - [`lease`] - the leader's time-limited permission to act
+//! - [`instance`] - all of the above behind one step function
+//! - [`planted`] - faults that tests switch on to check that the proof finds them
 
 pub mod bounds;
-pub mod council;
 pub mod ids;
 pub mod instance;
-pub mod mandate;
+pub mod lease;
+pub mod log;
 pub mod members;
 pub mod planted;
-pub mod record;
+pub mod raft;
 pub mod seal;
 pub mod wire;
--- /dev/null
+++ b/crates/stagepond-leadership/src/log.rs
@@ -0,0 +1,377 @@
+//! The replicated log: entries, the state machine that they build up, and the committed part of it.
+//!
+//! The log keeps entries in order and bounded in number. A committed entry is never changed or dropped.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::fmt;
+
+use serde::{Deserialize, Serialize};
+
+use crate::bounds::VOTERS_MAX;
+use crate::ids::*;
+
+/// The membership configuration: the voters, and a membership change in progress.
+///
+/// While a change is in progress this is Raft's joint consensus (section 6): both the old and the new
+/// configuration must agree. A change replaces one voter by another.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Voters {
+    /// The old configuration while a change is in progress, otherwise the only one.
+    pub now: Vec<Voter>,
+    /// The voter that is removed and the voter that replaces it.
+    pub change: Option<(Voter, Voter)>,
+}
+
+impl Voters {
+    /// A configuration without a change in progress.
+    pub fn single(now: Vec<Voter>) -> Voters {
+        Voters { now, change: None }
+    }
+
+    /// The new configuration of the change in progress, or the current one if there is none.
+    pub fn target(&self) -> Vec<Voter> {
+        let mut target = self.now.clone();
+        if let Some((removed, added)) = self.change {
+            target.retain(|v| *v != removed);
+            target.push(added);
+            target.sort();
+        }
+        target
+    }
+
+    /// Whether `voter` is in the old or the new configuration.
+    pub fn contains(&self, voter: &Voter) -> bool {
+        self.now.contains(voter) || self.change.is_some_and(|(_, added)| added == *voter)
+    }
+
+    /// All voters of the old and the new configuration.
+    pub fn iter(&self) -> impl Iterator<Item = Voter> + '_ {
+        self.now.iter().copied().chain(self.change.map(|(_, added)| added))
+    }
+
+    /// Whether the voters for which `agrees` holds are a majority of each configuration that must agree.
+    pub fn has_quorum(&self, agrees: impl Fn(&Voter) -> bool) -> bool {
+        let majority = |set: &[Voter]| set.iter().filter(|v| agrees(v)).count() * 2 > set.len();
+        majority(&self.now) && (self.change.is_none() || majority(&self.target()))
+    }
+
+    fn is_valid(&self) -> bool {
+        let consistent =
+            |(removed, added): (Voter, Voter)| self.now.contains(&removed) && !self.now.contains(&added);
+        !self.now.is_empty() && self.now.len() <= VOTERS_MAX && self.change.is_none_or(consistent)
+    }
+}
+
+/// The release judge's vote on a stage, as it is replicated.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum VoteChoice {
+    /// Advance to the next stage.
+    On,
+    /// Stay at this stage.
+    Hold,
+    /// Roll the build back.
+    Back,
+    /// An earlier vote no longer holds.
+    Withdrawn,
+}
+
+/// A command of the replicated log.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub enum Command {
+    /// A new leader's no-op. Once it is committed, so are all entries before it (Raft, section 8).
+    Opening,
+    /// A membership configuration.
+    Voters(Voters),
+    /// A vote on a stage of a build's trial.
+    Vote { build: u16, stage: u32, voice: VoteChoice },
+    /// Allows a trial this share of the traffic, in millionths.
+    Widen { build: u16, stage: u32, share: u32 },
+    /// While `frozen`, the traffic share of the build's trial does not grow.
+    Freeze { build: u16, frozen: bool },
+}
+
+/// The key of a command in the state machine: a later command with the same key replaces the earlier one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum Subject {
+    Vote { build: u16, stage: u32 },
+    Widen { build: u16 },
+    Freeze { build: u16 },
+}
+
+impl Command {
+    /// The key under which the state machine keeps this command; `None` for the log's own commands.
+    pub fn subject(&self) -> Option<Subject> {
+        match *self {
+            Command::Opening | Command::Voters(_) => None,
+            Command::Vote { build, stage, .. } => Some(Subject::Vote { build, stage }),
+            Command::Widen { build, .. } => Some(Subject::Widen { build }),
+            Command::Freeze { build, .. } => Some(Subject::Freeze { build }),
+        }
+    }
+}
+
+/// An entry of the replicated log.
+#[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Entry {
+    pub term: Term,
+    pub number: Number,
+    /// The leader that appended the entry.
+    pub leader: Seat,
+    pub command: Command,
+}
+
+/// Prints the names that `replay-leadership` shows; they are part of its output and stay as they are.
+impl fmt::Debug for Entry {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Entry")
+            .field("term", &self.term)
+            .field("number", &self.number)
+            .field("holder", &self.leader)
+            .field("decree", &self.command)
+            .finish()
+    }
+}
+
+/// The state machine after all entries up to `number`: Raft's snapshot (section 7).
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Snapshot {
+    /// Term of the last entry applied.
+    pub term: Term,
+    /// Position of the last entry applied.
+    pub number: Number,
+    pub voters: Voters,
+    /// The latest entry of each subject.
+    pub subjects: BTreeMap<Subject, Entry>,
+}
+
+/// Subjects that a snapshot keeps. Beyond this number the one with the oldest entry is removed.
+pub const MAX_SUBJECTS: usize = 48;
+/// Committed entries kept besides the snapshot, so that a follower that lacks a few of them does not need the
+/// whole snapshot.
+pub const MAX_COMMITTED_ENTRIES: usize = 32;
+/// Entries that wait for a quorum. Beyond this number the leader rejects commands.
+pub const MAX_UNCOMMITTED_ENTRIES: usize = 64;
+
+impl Snapshot {
+    fn apply(&mut self, entry: &Entry) {
+        (self.term, self.number) = (entry.term, entry.number);
+        if let Command::Voters(voters) = &entry.command {
+            self.voters = voters.clone();
+        }
+        if let Some(subject) = entry.command.subject() {
+            self.subjects.insert(subject, entry.clone());
+            if self.subjects.len() > MAX_SUBJECTS {
+                let oldest = self.subjects.iter().min_by_key(|(_, e)| e.number).map(|(s, _)| *s);
+                oldest.map(|s| self.subjects.remove(&s));
+            }
+        }
+    }
+
+    /// Whether a snapshot read from disk or from a peer is within the limits of this program.
+    pub fn is_valid(&self) -> bool {
+        let voters = self.voters == Voters::default() || self.voters.is_valid();
+        voters && self.subjects.len() <= MAX_SUBJECTS
+    }
+}
+
+/// The replicated log of one instance.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Log {
+    /// Compacted entries, up to `base.number`.
+    base: Snapshot,
+    /// The entries after `base`, committed or not.
+    entries: VecDeque<Entry>,
+    /// The state machine after all committed entries.
+    committed: Snapshot,
+}
+
+impl Log {
+    /// Term and position of the last entry, committed or not.
+    pub fn last(&self) -> (Term, Number) {
+        self.entries.back().map_or((self.base.term, self.base.number), |e| (e.term, e.number))
+    }
+    /// The state machine after all committed entries.
+    pub fn committed(&self) -> &Snapshot {
+        &self.committed
+    }
+    /// Raft's commit index: the position of the last committed entry.
+    pub fn commit_number(&self) -> Number {
+        self.committed.number
+    }
+    /// Position of the last compacted entry.
+    pub fn base_number(&self) -> Number {
+        self.base.number
+    }
+
+    fn offset(&self, number: Number) -> Option<usize> {
+        let offset = number.0.checked_sub(self.base.number.0 + 1)? as usize;
+        (offset < self.entries.len()).then_some(offset)
+    }
+
+    /// The entry at a position; `None` if it is compacted or not there yet.
+    pub fn entry(&self, number: Number) -> Option<&Entry> {
+        self.offset(number).map(|offset| &self.entries[offset])
+    }
+
+    /// The term of the entry at a position; `None` if it is no longer or not yet known.
+    pub fn term_at(&self, number: Number) -> Option<Term> {
+        if number == self.base.number {
+            return Some(self.base.term);
+        }
+        self.entry(number).map(|e| e.term)
+    }
+
+    /// The latest membership configuration, committed or not, with the term of its entry. Raft (section 6)
+    /// uses the latest configuration in the log as soon as it is there.
+    pub fn voters(&self) -> (&Voters, Term) {
+        let latest = self.entries.iter().rev().find_map(|e| match &e.command {
+            Command::Voters(voters) => Some((voters, e.term)),
+            _ => None,
+        });
+        latest.unwrap_or((&self.base.voters, self.base.term))
+    }
+
+    /// Whether a membership configuration is not committed yet.
+    pub fn has_uncommitted_voters(&self) -> bool {
+        let uncommitted =
+            |e: &Entry| e.number > self.committed.number && matches!(e.command, Command::Voters(_));
+        self.entries.iter().any(uncommitted)
+    }
+
+    /// How many entries are not committed yet.
+    pub fn uncommitted_len(&self) -> usize {
+        (self.last().1 .0 - self.committed.number.0) as usize
+    }
+
+    /// The entries after a position that are still kept one by one.
+    pub fn entries_after(&self, number: Number) -> impl Iterator<Item = &Entry> {
+        self.entries.iter().filter(move |e| e.number > number)
+    }
+
+    /// Appends an entry on the leader and returns its position.
+    pub fn append(&mut self, term: Term, leader: Seat, command: Command) -> Number {
+        let number = self.last().1.next();
+        self.entries.push_back(Entry { term, number, leader, command });
+        number
+    }
+
+    /// Stores an entry on a follower at the entry's own position. An entry of another term there is removed
+    /// together with all that follow it.
+    ///
+    /// Returns whether the log changed. It does not if the position is committed, would leave a gap, or holds
+    /// the same entry.
+    pub fn store(&mut self, entry: Entry) -> bool {
+        if entry.number <= self.committed.number || entry.number > self.last().1.next() {
+            return false;
+        }
+        if let Some(offset) = self.offset(entry.number) {
+            if self.entries[offset].term == entry.term {
+                return false;
+            }
+            self.entries.truncate(offset);
+        }
+        self.entries.push_back(entry);
+        true
+    }
+
+    /// Commits all entries up to a position and returns the newly committed ones in order. Compacts the
+    /// oldest committed entries beyond [`MAX_COMMITTED_ENTRIES`].
+    pub fn commit_up_to(&mut self, number: Number) -> Vec<Entry> {
+        let from = self.committed.number;
+        let new: Vec<Entry> =
+            self.entries.iter().filter(|e| e.number > from && e.number <= number).cloned().collect();
+        new.iter().for_each(|entry| self.committed.apply(entry));
+        while self.entries.len() > MAX_COMMITTED_ENTRIES && self.entries[0].number <= self.committed.number {
+            let Some(oldest) = self.entries.pop_front() else { break };
+            self.base.apply(&oldest);
+        }
+        new
+    }
+
+    /// Stores and commits an entry that is committed on another instance, if it is the next one here. An
+    /// uncommitted entry at its position is replaced: it can no longer be committed.
+    pub fn store_committed(&mut self, entry: Entry) -> Vec<Entry> {
+        let number = entry.number;
+        if number != self.committed.number.next() {
+            return Vec::new();
+        }
+        self.store(entry);
+        self.commit_up_to(number)
+    }
+
+    /// Replaces the committed state by a snapshot of another instance. Returns false if the snapshot is
+    /// invalid or not newer than the committed state.
+    pub fn install_snapshot(&mut self, snapshot: Snapshot) -> bool {
+        let current = (self.committed.term, self.committed.number);
+        if !snapshot.is_valid() || (snapshot.term, snapshot.number) <= current {
+            return false;
+        }
+        let same = self.term_at(snapshot.number) == Some(snapshot.term);
+        self.entries.retain(|e| same && e.number > snapshot.number);
+        self.base = snapshot.clone();
+        self.committed = snapshot;
+        true
+    }
+
+    /// Whether a log read from disk is consistent and within its limits.
+    pub fn is_valid(&self) -> bool {
+        let mut last = self.base.number;
+        let contiguous =
+            self.entries.iter().all(|e| std::mem::replace(&mut last, e.number).next() == e.number);
+        contiguous
+            && self.base.is_valid()
+            && self.committed.is_valid()
+            && self.committed.number >= self.base.number
+            && self.committed.number <= last
+            && self.entries.len() <= MAX_COMMITTED_ENTRIES + MAX_UNCOMMITTED_ENTRIES + 1
+    }
+}
+
+#[cfg(test)]
+mod tests {
+    use rstest::rstest;
+
+    use super::*;
+
+    fn vote(build: u16) -> Command {
+        Command::Vote { build, stage: 1, voice: VoteChoice::On }
+    }
+
+    #[rstest]
+    fn store_replaces_uncommitted_entries_only() {
+        let mut log = Log::default();
+        for build in 1..=3 {
+            log.append(Term(1), Seat(0), vote(build));
+        }
+        assert_eq!(log.commit_up_to(Number(2)).len(), 2);
+        let other =
+            |number| Entry { term: Term(2), number: Number(number), leader: Seat(1), command: vote(9) };
+        assert!(!log.store(other(2)), "the entry is committed");
+        assert!(log.store(other(3)));
+        assert_eq!(log.last(), (Term(2), Number(3)));
+        assert!(!log.store(other(5)), "entry 4 is missing");
+    }
+
+    #[rstest]
+    fn log_is_bounded_and_a_snapshot_restores_the_committed_state() {
+        let mut log = Log::default();
+        for build in 0..1000 {
+            let number = log.append(Term(1), Seat(0), vote(build));
+            log.commit_up_to(number);
+        }
+        assert!(log.is_valid() && log.entries.len() <= MAX_COMMITTED_ENTRIES);
+        assert_eq!(log.committed().subjects.len(), MAX_SUBJECTS);
+        let mut restored = Log::default();
+        assert!(restored.install_snapshot(log.committed().clone()));
+        assert_eq!(restored.committed(), log.committed());
+        assert!(!restored.install_snapshot(log.committed().clone()), "the snapshot is not newer");
+    }
+
+    #[rstest]
+    fn joint_consensus_needs_a_majority_of_both_configurations() {
+        let voter = |seat| Voter { seat: Seat(seat), memory: Memory(7) };
+        let voters = Voters { now: vec![voter(0), voter(1), voter(2)], change: Some((voter(0), voter(3))) };
+        let quorum = |seats: &[u16]| voters.has_quorum(|v| seats.contains(&v.seat.0));
+        assert!(!quorum(&[0, 1]) && !quorum(&[2, 3]) && quorum(&[1, 2]) && quorum(&[0, 1, 3]));
+    }
+}
--- a/crates/stagepond-leadership/src/wire.rs
+++ b/crates/stagepond-leadership/src/wire.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::ids::*;
-use crate::record::{Entry, Voters};
+use crate::log::{Entry, Voters};
 
 /// The longest datagram that may go from one instance to another.
 pub const DATAGRAM_MAX: usize = 256;
@@ -244,12 +244,12 @@
     fn the_longest_messages_fit_a_datagram() {
         let voter = |n: u16| Voter { seat: Seat(60_000 + n), memory: Memory((1 << 45) + u64::from(n)) };
         let voters = Voters { now: (0..7).map(voter).collect(), change: Some((voter(0), voter(8))) };
-        let (term, number) = (Term::founding(Era(1 << 43)), Number(1 << 40));
+        let (term, number) = (Term::first_of_era(Era(1 << 43)), Number(1 << 40));
         let entry = Entry {
             term,
             number,
-            holder: Seat(60_000),
-            decree: crate::record::Decree::Voters(voters.clone()),
+            leader: Seat(60_000),
+            command: crate::log::Command::Voters(voters.clone()),
         };
         let memory = Memory(1 << 45);
         let append = Message::Append {
--- a/crates/stagepond-sidecar/src/keeping.rs
+++ b/crates/stagepond-sidecar/src/keeping.rs
@@ -7,8 +7,8 @@
 use std::path::{Path, PathBuf};
 
 use anyhow::{bail, Context, Result};
-use stagepond_leadership::council::Promises;
 use stagepond_leadership::ids::Seat;
+use stagepond_leadership::raft::PersistentState;
 use stagepond_tuf::client::Kept;
 use tokio::sync::mpsc;
 
@@ -74,10 +74,10 @@
 
 /// What an earlier process at this seat kept. `None` if there is no file; what can't be read is an error, as a
 /// voter that starts without promises it made could break them.
-pub fn read(path: &Path, seat: Seat) -> Result<Option<Promises>> {
+pub fn read(path: &Path, seat: Seat) -> Result<Option<PersistentState>> {
     let at = || format!("leadership.state: {}", path.display());
     let Some(body) = read_as(path, MARK, at)? else { return Ok(None) };
-    let promises = Promises::decode(&body, seat);
+    let promises = PersistentState::decode(&body, seat);
     Ok(Some(promises.with_context(|| format!("{}: of another seat or another form", at()))?))
 }
 
@@ -137,7 +137,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("promises");
         assert!(read(&path, Seat(1)).unwrap().is_none());
-        let promises = Promises::none(Seat(1), Memory(7));
+        let promises = PersistentState::empty(Seat(1), Memory(7));
         write(&path, &promises.encode()).unwrap();
         assert_eq!(read(&path, Seat(1)).unwrap(), Some(promises));
         assert!(read(&path, Seat(2)).is_err(), "another seat's");
--- a/crates/stagepond-sidecar/src/leading.rs
+++ b/crates/stagepond-sidecar/src/leading.rs
@@ -5,12 +5,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stagepond::host::*;
-use stagepond_leadership::council::Promises;
 use stagepond_leadership::ids::{Life, Number, Seat, Term};
-use stagepond_leadership::instance::{Effect as Out, Input as In, Instance, Start};
-use stagepond_leadership::mandate::Mandate;
+use stagepond_leadership::instance::{Effect as Out, Input as In, Instance, InstanceConfig};
+use stagepond_leadership::lease::LeaderLease;
+use stagepond_leadership::log::{Command, Subject, VoteChoice};
 use stagepond_leadership::planted::Planted;
-use stagepond_leadership::record::{Decree, Subject, Voice};
+use stagepond_leadership::raft::PersistentState;
 use stagepond_leadership::seal::FORM;
 use stagepond_leadership::wire::Health;
 
@@ -92,15 +92,17 @@
 }
 
 impl Leading {
-    pub fn new(now: Tenths, me: Peer, seed: u64, asked: &Leadership, promises: Option<Promises>) -> Leading {
-        let instance = Instance::new(Start {
+    pub fn new(
+        now: Tenths, me: Peer, seed: u64, asked: &Leadership, promises: Option<PersistentState>,
+    ) -> Leading {
+        let instance = Instance::new(InstanceConfig {
             now,
             seat: Seat(me.0 as u16),
             life: Life(now.0 as u64),
             seed,
             bounds: asked.bounds.clone(),
             keys: asked.ring.keys(now),
-            promises,
+            persisted: promises,
             planted: Planted::default(),
         });
         Leading {
@@ -151,7 +153,7 @@
         Came::default()
     }
     pub fn kept(&mut self, now: Tenths, number: u64) -> Came {
-        self.step(now, In::Kept(number))
+        self.step(now, In::Persisted(number))
     }
     pub fn leave(&mut self, now: Tenths) -> Came {
         self.step(now, In::Leave)
@@ -186,11 +188,11 @@
         if !self.led {
             return came;
         }
-        let standing = &self.instance.council().record().in_force().subjects;
+        let standing = &self.instance.raft().log().committed().subjects;
         let frozen: BTreeSet<Build> = standing
             .values()
-            .filter_map(|entry| match entry.decree {
-                Decree::Freeze { build, frozen: true } => Some(Build(build)),
+            .filter_map(|entry| match entry.command {
+                Command::Freeze { build, frozen: true } => Some(Build(build)),
                 _ => None,
             })
             .collect();
@@ -201,7 +203,7 @@
             .chain(frozen.difference(&self.asked_frozen).map(|build| (*build, false)))
             .collect();
         for (Build(build), frozen) in changes {
-            let more = self.step(now, In::Command(Decree::Freeze { build, frozen }));
+            let more = self.step(now, In::Command(Command::Freeze { build, frozen }));
             came.effects.extend(more.effects);
             came.again |= more.again;
             came.lead = more.lead.or(came.lead);
@@ -215,12 +217,12 @@
             Some(Verdict::On) if self.frozen.contains_key(&build) => {
                 return Came::default();
             }
-            Some(Verdict::On) => Voice::On,
-            Some(Verdict::Hold) => Voice::Hold,
-            Some(Verdict::Back) => Voice::Back,
-            None => Voice::Withdrawn,
+            Some(Verdict::On) => VoteChoice::On,
+            Some(Verdict::Hold) => VoteChoice::Hold,
+            Some(Verdict::Back) => VoteChoice::Back,
+            None => VoteChoice::Withdrawn,
         };
-        self.step(now, In::Command(Decree::Vote { build: build.0, stage, voice }))
+        self.step(now, In::Command(Command::Vote { build: build.0, stage, voice }))
     }
 
     /// The platform's word, with the share that may be used of it here.
@@ -265,7 +267,7 @@
         if said.phase != Phase::Trial || !wider || self.frozen.contains_key(&said.build) {
             return Came::default();
         }
-        self.step(now, In::Command(Decree::Widen { build: said.build.0, stage: said.stage, share }))
+        self.step(now, In::Command(Command::Widen { build: said.build.0, stage: said.stage, share }))
     }
 
     fn step(&mut self, now: Tenths, input: In) -> Came {
@@ -276,45 +278,49 @@
                 Out::Send { to, bytes } => {
                     came.effects.push(Effect::Tell { to: Some(Peer(usize::from(to.0))), words: bytes });
                 }
-                Out::Keep { number, promises } => came.effects.push(Effect::Keep { number, promises }),
-                Out::Leads(mandate) => {
+                Out::Persist { version: number, state: promises } => {
+                    came.effects.push(Effect::Keep { number, promises })
+                }
+                Out::BecameLeader(mandate) => {
                     asks = true;
-                    came.effects
-                        .push(Effect::Note(Note::Leads { term: mandate.term(), until: mandate.until() }));
+                    came.effects.push(Effect::Note(Note::Leads {
+                        term: mandate.term(),
+                        until: mandate.expires_at(),
+                    }));
                 }
-                Out::SteppedDown { term, why } => {
+                Out::SteppedDown { term, reason: why } => {
                     came.effects.push(Effect::Note(Note::SteppedDown { term, why }));
                 }
-                Out::InForce { entry, mandate } => {
-                    let vote = self.vote(&entry.decree, mandate);
-                    let (term, number, holder) = (entry.term, entry.number, entry.holder);
-                    came.again |= self.bears(&entry.decree);
+                Out::Committed { entry, lease: mandate } => {
+                    let vote = self.vote(&entry.command, mandate);
+                    let (term, number, holder) = (entry.term, entry.number, entry.leader);
+                    came.again |= self.bears(&entry.command);
                     // What was held back while it was frozen is asked for again.
-                    asks |= matches!(entry.decree, Decree::Freeze { frozen: false, .. });
-                    let decree = format!("{:?}", entry.decree);
+                    asks |= matches!(entry.command, Command::Freeze { frozen: false, .. });
+                    let decree = format!("{:?}", entry.command);
                     came.effects.push(Effect::Note(Note::InForce { term, number, holder, decree }));
                     came.effects.extend(vote);
                 }
-                Out::CaughtUp { number } => {
+                Out::SnapshotInstalled { number } => {
                     came.again = true;
                     came.effects.push(Effect::Note(Note::CaughtUp { number }));
                     self.look_up_all();
                 }
-                Out::Founded { era } => {
-                    came.effects.push(Effect::Note(Note::Founded { term: Term::founding(era) }));
+                Out::Bootstrapped { era } => {
+                    came.effects.push(Effect::Note(Note::Founded { term: Term::first_of_era(era) }));
                 }
-                Out::Refused { decree, why } => {
+                Out::Rejected { command: decree, reason: why } => {
                     let (decree, why) = (format!("{decree:?}"), why.to_string());
                     came.effects.push(Effect::Note(Note::Refused { decree, why }));
                 }
-                Out::Member { seat, health } => {
+                Out::MemberChanged { seat, health } => {
                     came.effects.push(Effect::Note(Note::Member { seat, health }));
                 }
             }
         }
-        let led = self.instance.mandate(now).is_some();
-        let voters = self.instance.council().voters();
-        let mut voters: Vec<Peer> = voters.all().map(|v| Peer(usize::from(v.seat.0))).collect();
+        let led = self.instance.lease(now).is_some();
+        let voters = self.instance.raft().voters();
+        let mut voters: Vec<Peer> = voters.iter().map(|v| Peer(usize::from(v.seat.0))).collect();
         voters.dedup();
         if (led, &voters) != (self.led, &self.voters) {
             (self.led, self.voters) = (led, voters.clone());
@@ -330,25 +336,25 @@
     }
 
     /// Only who leads gets leave with a decree, and only then is a vote cast.
-    fn vote(&self, decree: &Decree, mandate: Option<Mandate>) -> Option<Effect> {
-        let (&Decree::Vote { build, stage, voice }, Some(mandate)) = (decree, mandate) else { return None };
+    fn vote(&self, decree: &Command, mandate: Option<LeaderLease>) -> Option<Effect> {
+        let (&Command::Vote { build, stage, voice }, Some(mandate)) = (decree, mandate) else { return None };
         let verdict = match voice {
-            Voice::On => Some(Verdict::On),
-            Voice::Hold => Some(Verdict::Hold),
-            Voice::Back => Some(Verdict::Back),
-            Voice::Withdrawn => None,
+            VoteChoice::On => Some(Verdict::On),
+            VoteChoice::Hold => Some(Verdict::Hold),
+            VoteChoice::Back => Some(Verdict::Back),
+            VoteChoice::Withdrawn => None,
         };
         Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(mandate) })
     }
 
     /// Whether a decree changes what share of a trial may be used.
-    fn bears(&mut self, decree: &Decree) -> bool {
+    fn bears(&mut self, decree: &Command) -> bool {
         match *decree {
-            Decree::Widen { build, share, .. } => {
+            Command::Widen { build, share, .. } => {
                 self.widened.insert(Build(build), share);
                 true
             }
-            Decree::Freeze { build, frozen } => {
+            Command::Freeze { build, frozen } => {
                 let build = Build(build);
                 if frozen {
                     let cap = self.told.filter(|(b, _)| *b == build).map_or(0.0, |(_, cap)| cap);
@@ -358,15 +364,15 @@
                 }
                 true
             }
-            Decree::Opening | Decree::Voters(_) | Decree::Vote { .. } => false,
+            Command::Opening | Command::Voters(_) | Command::Vote { .. } => false,
         }
     }
 
     fn look_up_all(&mut self) {
-        let subjects = self.instance.council().record().in_force().subjects.clone();
+        let subjects = self.instance.raft().log().committed().subjects.clone();
         let standing = |subject: &Subject| matches!(subject, Subject::Widen { .. } | Subject::Freeze { .. });
         for (_, entry) in subjects.iter().filter(|(subject, _)| standing(subject)) {
-            self.bears(&entry.decree);
+            self.bears(&entry.command);
         }
     }
 }
--- a/crates/stagepond-sidecar/src/leading_stories.rs
+++ b/crates/stagepond-sidecar/src/leading_stories.rs
@@ -55,7 +55,7 @@
                 Effect::Vote { verdict: Some(verdict), mandate, .. } => {
                     let mandate = mandate.expect("where one leads nobody votes without leave");
                     assert!(mandate.check(self.now).is_ok());
-                    self.votes.push((of, mandate.until(), verdict));
+                    self.votes.push((of, mandate.expires_at(), verdict));
                 }
                 _ => {}
             }
@@ -83,7 +83,7 @@
     fn leaders(&self) -> Vec<usize> {
         let leads = |of: &usize| {
             let leading = self.stories[*of].reducer.leading().unwrap();
-            leading.instance().mandate(self.now).is_some()
+            leading.instance().lease(self.now).is_some()
         };
         (0..SIDECARS).filter(leads).collect()
     }
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -9,7 +9,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method};
 use stagepond::host::*;
-use stagepond_leadership::mandate::Mandate;
+use stagepond_leadership::lease::LeaderLease;
 
 /// The longest body of an invocation or an answer.
 pub const BODY_MAX: usize = 64 << 10;
@@ -178,7 +178,7 @@
         stage: u32,
         verdict: Option<Verdict>,
         /// Where one leads: leave to cast it, to be shown to the clock in the last step before the write.
-        mandate: Option<Mandate>,
+        mandate: Option<LeaderLease>,
     },
     /// Promises to be written whole and flushed, then answered by `Kept`.
     Keep {
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -14,7 +14,7 @@
 use serde::Deserialize;
 use stagepond::host::*;
 use stagepond_facts::Names;
-use stagepond_leadership::mandate::Mandate;
+use stagepond_leadership::lease::LeaderLease;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -125,7 +125,7 @@
     pub stage: u32,
     pub verdict: Option<Verdict>,
     pub until: Instant,
-    pub mandate: Option<Mandate>,
+    pub mandate: Option<LeaderLease>,
 }
 
 /// Carries votes out one after the other, as they came. One that is out when the platform moves stays where
@@ -181,8 +181,8 @@
             );
             return Err(Ending::NoConnection);
         }
-        let (term, holder, number) = (mandate.term().0, mandate.holder().0, mandate.number().0);
-        let (at, until) = (now.0, mandate.until().0);
+        let (term, holder, number) = (mandate.term().0, mandate.holder().0, mandate.commit_number().0);
+        let (at, until) = (now.0, mandate.expires_at().0);
         tracing::info!(
             event = "vote_cast",
             build = vote.build.0,
@@ -260,19 +260,27 @@
     }
 
     /// Leave to vote, from an instance that leads alone.
-    fn mandate(now: Tenths) -> Mandate {
+    fn mandate(now: Tenths) -> LeaderLease {
         use stagepond_leadership::ids::{Life, Seat};
-        use stagepond_leadership::instance::{Input, Instance, Start};
+        use stagepond_leadership::instance::{Input, Instance, InstanceConfig};
         use stagepond_leadership::{bounds::Bounds, planted::Planted, seal::*};
         let (bounds, keys) = (Bounds::usual(1), Keys::new(Key::new(1, &[7; 32]).unwrap()));
         let (seat, life, planted) = (Seat(0), Life(1), Planted::default());
-        let mut instance =
-            Instance::new(Start { now, seat, life, seed: 1, bounds, keys, promises: None, planted });
+        let mut instance = Instance::new(InstanceConfig {
+            now,
+            seat,
+            life,
+            seed: 1,
+            bounds,
+            keys,
+            persisted: None,
+            planted,
+        });
         (0..100)
             .map(|n| now + Tenths::ms(100 * n))
             .find_map(|now| {
                 instance.step(now, Input::Tick);
-                instance.mandate(now)
+                instance.lease(now)
             })
             .expect("nobody else could lead")
     }
