--- a/crates/stagepond-sidecar/src/config.rs
+++ b/crates/stagepond-sidecar/src/config.rs
@@ -139,7 +139,7 @@
         if !(0.0..MAX_STATUS_AGE_MS).contains(&self.age_ms) {
             bail!("age_ms: {} is not from 0 to {MAX_STATUS_AGE_MS}", self.age_ms);
         }
-        let since = Tenths::floor(self.age_ms);
+        let since = Tenths::floor_ms(self.age_ms);
         Ok(Standing { build: Build(self.build), stage: self.stage, phase, cap: self.cap, since })
     }
 }
@@ -185,26 +185,30 @@
     };
     let settings = &file.settings;
     let (facts, names) = stagepond_facts::read(settings)?;
-    let time = |path: &str| stagepond_facts::number(settings, path).map(Tenths::floor);
+    let time = |path: &str| stagepond_facts::number(settings, path).map(Tenths::floor_ms);
     let is_streaming = |operation: &Value| operation.pointer("/streaming") == Some(&Value::Bool(true));
     if stagepond_facts::list(settings, "/classes")?.iter().any(is_streaming) {
         bail!("settings: /classes: streaming is true, but streamed answers are not supported");
     }
-    if facts.one_way_keys {
+    if facts.sticky_keys {
         bail!(
             "settings: /family_info/no_return: keys that never return to an earlier build are not supported"
         );
     }
-    if facts.me.0 >= facts.sidecars {
-        bail!("settings: /self_index: {} is not below /fleet_size: {}", facts.me.0, facts.sidecars);
+    if facts.own_peer.0 >= facts.sidecar_count {
+        bail!(
+            "settings: /self_index: {} is not below /fleet_size: {}",
+            facts.own_peer.0,
+            facts.sidecar_count
+        );
     }
     let peers: Vec<SocketAddr> =
         file.peers.iter().map(|peer| parse_address("peers", peer)).collect::<Result<_>>()?;
     let peer_listen = parse_optional_address("peer_listen", &file.peer_listen)?;
-    if facts.peers && peers.len() != facts.sidecars {
-        bail!("peers: {} addresses, expected {} (/fleet_size)", peers.len(), facts.sidecars);
+    if facts.peer_messages && peers.len() != facts.sidecar_count {
+        bail!("peers: {} addresses, expected {} (/fleet_size)", peers.len(), facts.sidecar_count);
     }
-    if facts.peers && peer_listen.is_none() {
+    if facts.peer_messages && peer_listen.is_none() {
         bail!("peer_listen: missing, but /bounds/peers is true");
     }
     if file.limits.sockets < MIN_SOCKETS {
--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -6,12 +6,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use stagepond::host::*;
-use stagepond_leadership::council::Promises;
 use stagepond_leadership::ids::{Life, Number, Seat, Term};
-use stagepond_leadership::instance::{Effect as InstanceEffect, Input as InstanceInput, Instance, Start};
-use stagepond_leadership::mandate::Mandate;
+use stagepond_leadership::instance::{
+    Effect as InstanceEffect, Input as InstanceInput, Instance, InstanceConfig,
+};
+use stagepond_leadership::lease::LeaderLease;
+use stagepond_leadership::log::{Command, Subject, VoteChoice};
 use stagepond_leadership::planted::Planted;
-use stagepond_leadership::record::{Decree, Subject, Voice};
+use stagepond_leadership::raft::PersistentState;
 use stagepond_leadership::seal::FORM;
 use stagepond_leadership::wire::Health;
 
@@ -92,16 +94,16 @@
     /// this seat, if there is any. The start time serves as the incarnation (`Life`), which must be higher
     /// than that of any earlier process at this seat.
     pub fn new(
-        now: Tenths, own_peer: Peer, seed: u64, config: &LeadershipConfig, persisted: Option<Promises>,
+        now: Tenths, own_peer: Peer, seed: u64, config: &LeadershipConfig, persisted: Option<PersistentState>,
     ) -> LeadershipController {
-        let instance = Instance::new(Start {
+        let instance = Instance::new(InstanceConfig {
             now,
             seat: Seat(own_peer.0 as u16),
             life: Life(now.0 as u64),
             seed,
             bounds: config.bounds.clone(),
             keys: config.key_ring.keys_at(now),
-            promises: persisted,
+            persisted,
             planted: Planted::default(),
         });
         LeadershipController {
@@ -166,7 +168,7 @@
 
     /// The state with this sequence number is on stable storage.
     pub fn on_state_persisted(&mut self, now: Tenths, number: u64) -> StepOutcome {
-        self.step(now, InstanceInput::Kept(number))
+        self.step(now, InstanceInput::Persisted(number))
     }
 
     /// Announces a planned shutdown; a leader hands over its role.
@@ -209,11 +211,11 @@
         if !self.is_leader {
             return outcome;
         }
-        let committed = &self.instance.council().record().in_force().subjects;
+        let committed = &self.instance.raft().log().committed().subjects;
         let frozen: BTreeSet<Build> = committed
             .values()
-            .filter_map(|entry| match entry.decree {
-                Decree::Freeze { build, frozen: true } => Some(Build(build)),
+            .filter_map(|entry| match entry.command {
+                Command::Freeze { build, frozen: true } => Some(Build(build)),
                 _ => None,
             })
             .collect();
@@ -224,7 +226,7 @@
             .chain(frozen.difference(&self.requested_freezes).map(|build| (*build, false)))
             .collect();
         for (Build(build), frozen) in changes {
-            let step = self.step(now, InstanceInput::Command(Decree::Freeze { build, frozen }));
+            let step = self.step(now, InstanceInput::Command(Command::Freeze { build, frozen }));
             outcome.effects.extend(step.effects);
             outcome.share_changed |= step.share_changed;
             outcome.leadership_change = step.leadership_change.or(outcome.leadership_change);
@@ -241,12 +243,12 @@
             Some(Verdict::On) if self.frozen_shares.contains_key(&build) => {
                 return StepOutcome::default();
             }
-            Some(Verdict::On) => Voice::On,
-            Some(Verdict::Hold) => Voice::Hold,
-            Some(Verdict::Back) => Voice::Back,
-            None => Voice::Withdrawn,
+            Some(Verdict::On) => VoteChoice::On,
+            Some(Verdict::Hold) => VoteChoice::Hold,
+            Some(Verdict::Back) => VoteChoice::Back,
+            None => VoteChoice::Withdrawn,
         };
-        self.step(now, InstanceInput::Command(Decree::Vote { build: build.0, stage, voice }))
+        self.step(now, InstanceInput::Command(Command::Vote { build: build.0, stage, voice }))
     }
 
     /// Takes a rollout status from the platform and returns it with its cap limited to the share that may be
@@ -302,7 +304,7 @@
         if status.phase != Phase::Trial || !is_wider || self.frozen_shares.contains_key(&status.build) {
             return StepOutcome::default();
         }
-        let command = Decree::Widen { build: status.build.0, stage: status.stage, share };
+        let command = Command::Widen { build: status.build.0, stage: status.stage, share };
         self.step(now, InstanceInput::Command(command))
     }
 
@@ -316,42 +318,42 @@
                     let to = Some(Peer(usize::from(to.0)));
                     outcome.effects.push(Effect::Tell { to, words: bytes });
                 }
-                InstanceEffect::Keep { number, promises } => {
+                InstanceEffect::Persist { version: number, state: promises } => {
                     outcome.effects.push(Effect::Keep { number, promises });
                 }
-                InstanceEffect::Leads(mandate) => {
+                InstanceEffect::BecameLeader(lease) => {
                     propose_again = true;
-                    let (term, until) = (mandate.term(), mandate.until());
+                    let (term, until) = (lease.term(), lease.expires_at());
                     outcome.effects.push(Effect::Note(LeadershipEvent::BecameLeader { term, until }));
                 }
-                InstanceEffect::SteppedDown { term, why } => {
+                InstanceEffect::SteppedDown { term, reason: why } => {
                     outcome.effects.push(Effect::Note(LeadershipEvent::SteppedDown { term, why }));
                 }
-                InstanceEffect::InForce { entry, mandate } => {
-                    let vote = vote_effect(&entry.decree, mandate);
-                    let (term, number, holder) = (entry.term, entry.number, entry.holder);
-                    outcome.share_changed |= self.apply_command(&entry.decree);
+                InstanceEffect::Committed { entry, lease } => {
+                    let vote = vote_effect(&entry.command, lease);
+                    let (term, number, holder) = (entry.term, entry.number, entry.leader);
+                    outcome.share_changed |= self.apply_command(&entry.command);
                     // Widening that the freeze held back is proposed again.
-                    propose_again |= matches!(entry.decree, Decree::Freeze { frozen: false, .. });
-                    let decree = format!("{:?}", entry.decree);
+                    propose_again |= matches!(entry.command, Command::Freeze { frozen: false, .. });
+                    let decree = format!("{:?}", entry.command);
                     let event = LeadershipEvent::CommandCommitted { term, number, holder, decree };
                     outcome.effects.push(Effect::Note(event));
                     outcome.effects.extend(vote);
                 }
-                InstanceEffect::CaughtUp { number } => {
+                InstanceEffect::SnapshotInstalled { number } => {
                     outcome.share_changed = true;
                     outcome.effects.push(Effect::Note(LeadershipEvent::SnapshotInstalled { number }));
                     self.apply_committed_shares();
                 }
-                InstanceEffect::Founded { era } => {
-                    let term = Term::founding(era);
+                InstanceEffect::Bootstrapped { era } => {
+                    let term = Term::first_of_era(era);
                     outcome.effects.push(Effect::Note(LeadershipEvent::Bootstrapped { term }));
                 }
-                InstanceEffect::Refused { decree, why } => {
-                    let (decree, why) = (format!("{decree:?}"), why.to_string());
+                InstanceEffect::Rejected { command, reason } => {
+                    let (decree, why) = (format!("{command:?}"), reason.to_string());
                     outcome.effects.push(Effect::Note(LeadershipEvent::CommandRejected { decree, why }));
                 }
-                InstanceEffect::Member { seat, health } => {
+                InstanceEffect::MemberChanged { seat, health } => {
                     outcome.effects.push(Effect::Note(LeadershipEvent::MemberHealthChanged { seat, health }));
                 }
             }
@@ -368,9 +370,9 @@
 
     /// The voters and whether this sidecar leads, if either has changed since the last call.
     fn update_leadership(&mut self, now: Tenths) -> Option<(Vec<Peer>, bool)> {
-        let is_leader = self.instance.mandate(now).is_some();
-        let voters = self.instance.council().voters();
-        let mut voters: Vec<Peer> = voters.all().map(|voter| Peer(usize::from(voter.seat.0))).collect();
+        let is_leader = self.instance.lease(now).is_some();
+        let voters = self.instance.raft().voters();
+        let mut voters: Vec<Peer> = voters.iter().map(|voter| Peer(usize::from(voter.seat.0))).collect();
         voters.dedup();
         if (is_leader, &voters) == (self.is_leader, &self.voters) {
             return None;
@@ -380,13 +382,13 @@
     }
 
     /// Updates the share limits from a committed command. Returns whether it affects the share of a trial.
-    fn apply_command(&mut self, command: &Decree) -> bool {
+    fn apply_command(&mut self, command: &Command) -> bool {
         match *command {
-            Decree::Widen { build, share, .. } => {
+            Command::Widen { build, share, .. } => {
                 self.committed_shares.insert(Build(build), share);
                 true
             }
-            Decree::Freeze { build, frozen } => {
+            Command::Freeze { build, frozen } => {
                 let build = Build(build);
                 if frozen {
                     let share = self.share_in_use(build);
@@ -396,30 +398,30 @@
                 }
                 true
             }
-            Decree::Opening | Decree::Voters(_) | Decree::Vote { .. } => false,
+            Command::Opening | Command::Voters(_) | Command::Vote { .. } => false,
         }
     }
 
     /// Applies every committed command that limits a share, after the log was replaced as a whole.
     fn apply_committed_shares(&mut self) {
-        let subjects = self.instance.council().record().in_force().subjects.clone();
+        let subjects = self.instance.raft().log().committed().subjects.clone();
         let limits_share =
             |subject: &Subject| matches!(subject, Subject::Widen { .. } | Subject::Freeze { .. });
         for (_, entry) in subjects.iter().filter(|(subject, _)| limits_share(subject)) {
-            self.apply_command(&entry.decree);
+            self.apply_command(&entry.command);
         }
     }
 }
 
 /// The effect that casts a committed vote. Only the leader gets a lease with a committed command, so only the
 /// leader casts the vote.
-fn vote_effect(command: &Decree, mandate: Option<Mandate>) -> Option<Effect> {
-    let (&Decree::Vote { build, stage, voice }, Some(mandate)) = (command, mandate) else { return None };
+fn vote_effect(command: &Command, lease: Option<LeaderLease>) -> Option<Effect> {
+    let (&Command::Vote { build, stage, voice }, Some(lease)) = (command, lease) else { return None };
     let verdict = match voice {
-        Voice::On => Some(Verdict::On),
-        Voice::Hold => Some(Verdict::Hold),
-        Voice::Back => Some(Verdict::Back),
-        Voice::Withdrawn => None,
+        VoteChoice::On => Some(Verdict::On),
+        VoteChoice::Hold => Some(Verdict::Hold),
+        VoteChoice::Back => Some(Verdict::Back),
+        VoteChoice::Withdrawn => None,
     };
-    Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(mandate) })
+    Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(lease) })
 }
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -7,7 +7,7 @@
 
 use anyhow::{anyhow, bail, Context, Result};
 use serde::Deserialize;
-use stagepond::host::{Build, Facts, Op, Repeat, Tenths};
+use stagepond::host::{Build, Facts, Op, RetrySafety, Tenths};
 use stagepond_facts::Names;
 use stagepond_leadership::bounds::Bounds;
 use stagepond_leadership::ids::Seat;
@@ -177,15 +177,16 @@
     if !(0.0..=MAX_TIME_MS).contains(&ms) {
         bail!("{field}: {ms} is not a time in ms from 0 to {MAX_TIME_MS}");
     }
-    Ok(Tenths::floor(ms))
+    Ok(Tenths::floor_ms(ms))
 }
 
 fn check_leadership(section: LeadershipSection, facts: &Facts, folder: &Path) -> Result<LeadershipConfig> {
-    if !facts.peers {
+    if !facts.peer_messages {
         bail!("leadership: the settings do not allow datagrams between instances (bounds.peers is false)");
     }
-    let seats = u16::try_from(facts.sidecars)
-        .map_err(|_| anyhow!("leadership: {} instances, expected at most {}", facts.sidecars, u16::MAX))?;
+    let seats = u16::try_from(facts.sidecar_count).map_err(|_| {
+        anyhow!("leadership: {} instances, expected at most {}", facts.sidecar_count, u16::MAX)
+    })?;
     let mut bounds = Bounds::usual(seats);
     let set_time = |field: &str, setting: &mut Tenths, ms: Option<f64>| -> Result<()> {
         if let Some(ms) = ms {
@@ -240,7 +241,7 @@
     let operation = names.operations.iter().position(|name| *name == section.operation);
     let operation = operation
         .with_context(|| format!("tuf.operation: {:?} is not in the settings", section.operation))?;
-    if facts.operations[operation].repeat != Repeat::Idempotent {
+    if facts.operations[operation].retry_safety != RetrySafety::Idempotent {
         bail!(
             "tuf.operation: {:?} is not idempotent, so an unverified answer can't be retried at another pod",
             section.operation
@@ -325,7 +326,7 @@
     use super::*;
 
     fn facts() -> Facts {
-        Facts { sidecars: 3, peers: true, ..Facts::default() }
+        Facts { sidecar_count: 3, peer_messages: true, ..Facts::default() }
     }
 
     fn names() -> Names {
--- a/crates/stagepond-sidecar/src/state_files.rs
+++ b/crates/stagepond-sidecar/src/state_files.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 
 use anyhow::{bail, Context, Result};
-use stagepond_leadership::council::Promises;
 use stagepond_leadership::ids::Seat;
+use stagepond_leadership::raft::PersistentState;
 use stagepond_tuf::client::Kept;
 use tokio::sync::mpsc;
 
@@ -91,10 +91,10 @@
 ///
 /// An unreadable or damaged file, or one of another seat, is an error that names `leadership.state`: a voter
 /// that starts without its earlier state could vote twice in a term.
-pub fn read_persistent_state(path: &Path, seat: Seat) -> Result<Option<Promises>> {
+pub fn read_persistent_state(path: &Path, seat: Seat) -> Result<Option<PersistentState>> {
     let field = || format!("leadership.state: {}", path.display());
     let Some(body) = read_file(path, PERSISTENT_STATE_MAGIC, field)? else { return Ok(None) };
-    let state = Promises::decode(&body, seat).with_context(|| {
+    let state = PersistentState::decode(&body, seat).with_context(|| {
         format!("{}: written by another seat or in another format, expected seat {}", field(), seat.0)
     })?;
     Ok(Some(state))
@@ -160,7 +160,7 @@
         let folder = tempfile::tempdir().unwrap();
         let path = folder.path().join("promises");
         assert!(read_persistent_state(&path, Seat(1)).unwrap().is_none());
-        let state = Promises::none(Seat(1), Memory(7));
+        let state = PersistentState::empty(Seat(1), Memory(7));
         write_persistent_state(&path, &state.encode()).unwrap();
         assert_eq!(read_persistent_state(&path, Seat(1)).unwrap(), Some(state));
         assert!(read_persistent_state(&path, Seat(2)).is_err(), "the file belongs to seat 1");
--- a/crates/stagepond-sidecar/src/verification.rs
+++ b/crates/stagepond-sidecar/src/verification.rs
@@ -286,7 +286,7 @@
         }
         self.failed_refreshes = 0;
         // Jitter: sidecars that started together must not refresh at the same time.
-        self.next_refresh = now + self.config.refresh_interval.part(0.75 + self.rng.f64() / 2.0);
+        self.next_refresh = now + self.config.refresh_interval.scale(0.75 + self.rng.f64() / 2.0);
     }
 
     /// A refresh was refused: schedule a retry with exponential backoff and jitter.
@@ -294,7 +294,7 @@
         let max_delay = MAX_RETRY_DELAY.min(self.config.refresh_interval.max(FIRST_RETRY_DELAY));
         let doublings = self.failed_refreshes.min(MAX_RETRY_DOUBLINGS);
         let delay = Tenths(FIRST_RETRY_DELAY.0 << doublings).min(max_delay);
-        let delay = delay.part(0.5 + self.rng.f64() / 2.0);
+        let delay = delay.scale(0.5 + self.rng.f64() / 2.0);
         self.failed_refreshes += 1;
         self.next_refresh = now + delay;
         let (kind, why) = (refusal.kind(), refusal.to_string());
