--- a/crates/stagepond-sidecar/src/state_files.rs
+++ b/crates/stagepond-sidecar/src/state_files.rs
@@ -21,7 +21,7 @@
 /// First bytes of a trusted metadata file; the header is laid out the same way.
 const TRUSTED_METADATA_MAGIC: &[u8; 8] = b"SPTUF001";
 const HEADER_BYTES: usize = PERSISTENT_STATE_MAGIC.len() + 4 + 8;
-/// Size limit of a state file in bytes; the leadership record is bounded to less.
+/// Size limit of a state file in bytes; the replicated log is bounded to less.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// 64-bit FNV-1a. Detects torn and corrupted files; it is no protection against an attacker, who could write
@@ -120,7 +120,8 @@
 
 /// Writes the persistent states that it receives, outside the event loop, and confirms each write with
 /// `Input::Kept`. Of several queued states only the last is written, as it includes the others. After a
-/// failed write nothing is stored or confirmed any more, so this voter makes no further promises.
+/// failed write nothing is stored or confirmed any more, so the protocol sends no vote or acknowledgement that
+/// depends on it.
 pub async fn write_persistent_states(
     path: PathBuf, mut states: mpsc::UnboundedReceiver<(u64, Vec<u8>)>, inputs: mpsc::Sender<Input>,
 ) {
@@ -154,7 +155,7 @@
     use super::*;
 
     /// A damaged or truncated file must be an error. Read as if there were none, it would let a voter forget
-    /// its promises.
+    /// its vote and its log.
     #[rstest]
     fn stored_state_is_read_back_and_a_damaged_file_is_an_error() {
         let folder = tempfile::tempdir().unwrap();
