--- a/crates/stagepond-leadership/src/ids.rs
+++ b/crates/stagepond-leadership/src/ids.rs
@@ -24,7 +24,9 @@
 /// A process that lost its term and vote counts as a different voter, so it cannot vote twice in a term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Voter {
+    /// The seat that the voter's process runs at.
     pub seat: Seat,
+    /// The persistent state that the voter's process continues.
     pub memory: Memory,
 }
 
--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -99,12 +99,15 @@
 pub struct Status {
     pub seat: Seat,
     pub life: Life,
+    /// The current Raft term.
     pub term: Term,
     /// The leader of the term, if known.
     pub leader: Option<Seat>,
+    /// Whether this instance leads; it may still lack a valid lease.
     pub is_leader: bool,
     /// Term and position of the last committed entry.
     pub committed: (Term, Number),
+    /// The current voters; the old configuration during a membership change.
     pub voters: Vec<Voter>,
     /// Whether a membership change is in progress.
     pub voters_changing: bool,
@@ -134,16 +137,21 @@
 
 /// The parameters of a new [`Instance`].
 pub struct InstanceConfig {
+    /// The host's clock at the start.
     pub now: Tenths,
+    /// The seat of this instance.
     pub seat: Seat,
     /// Must be higher than that of any earlier process at this seat; the time of day serves.
     pub life: Life,
     /// Seeds the random generators.
     pub seed: u64,
+    /// The validated settings.
     pub bounds: Bounds,
+    /// The keys that seal and open datagrams.
     pub keys: Keys,
     /// The state that an earlier process wrote to disk, if there is a disk.
     pub persisted: Option<PersistentState>,
+    /// Faults that a test switches on; none in production.
     pub planted: Planted,
 }
 
@@ -256,9 +264,9 @@
         if now >= self.raft.next_due() {
             self.raft.tick(now, &self.members);
         }
-        let (unpersisted, messages) = self.raft.finish_step(now);
+        let (version_to_persist, messages) = self.raft.finish_step(now);
         outbox.extend(messages);
-        if let Some(version) = unpersisted {
+        if let Some(version) = version_to_persist {
             effects.push(Effect::Persist { version, state: self.raft.persistent_state().encode() });
         }
         for (to, message) in outbox {
--- a/crates/stagepond-leadership/src/lease.rs
+++ b/crates/stagepond-leadership/src/lease.rs
@@ -35,6 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the leader lease of {term:?} expired {} ms ago", .overdue.0 as f64 / 10.0)]
 pub struct LeaseExpired {
+    /// The term of the expired lease.
     pub term: Term,
     /// Time since the lease expired.
     pub overdue: Tenths,
@@ -66,8 +67,8 @@
 
     /// Fails with [`LeaseExpired`] unless the lease is still valid at `now`.
     ///
-    /// To be called directly before the write. The time by which `expires_at` was shortened (the margin in
-    /// the settings) covers a pause between this check and the write.
+    /// To be called directly before the write. A pause between this check and the write is tolerated up to
+    /// the margin in the settings, by which `expires_at` was shortened.
     pub fn check(&self, now: Tenths) -> Result<(), LeaseExpired> {
         if now < self.expires_at || self.planted.has(Fault::ActAfterExpiry) {
             return Ok(());
--- a/crates/stagepond-leadership/src/log.rs
+++ b/crates/stagepond-leadership/src/log.rs
@@ -1,6 +1,9 @@
 //! The replicated log: entries, the state machine that they build up, and the committed part of it.
 //!
 //! The log keeps entries in order and bounded in number. A committed entry is never changed or dropped.
+//!
+//! The types here are stored and sent as postcard, which encodes fields and variants by their order of
+//! declaration, so that order must not change.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -113,7 +116,9 @@
 /// An entry of the replicated log.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
+    /// The term in which the leader appended the entry.
     pub term: Term,
+    /// The position in the log.
     pub number: Number,
     /// The leader that appended the entry.
     pub leader: Seat,
@@ -139,6 +144,7 @@
     pub term: Term,
     /// Position of the last entry applied.
     pub number: Number,
+    /// The latest membership configuration applied.
     pub voters: Voters,
     /// The latest entry of each subject.
     pub subjects: BTreeMap<Subject, Entry>,
--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -26,18 +26,23 @@
 const MAX_HEARTBEAT_ROUNDS: usize = 32;
 /// Messages that wait until the state they depend on is persisted.
 const MAX_PENDING_MESSAGES: usize = 256;
-/// A bootstrap attempt is abandoned after this many hold times.
+/// A bootstrap attempt is abandoned after this many hold times ([`Bounds::hold`]).
 const BOOTSTRAP_TIMEOUT_HOLDS: i64 = 2;
 /// Distance between the eras of one seat. Each seat of the pool starts eras at its own offset, so no two
 /// seats start the same one.
 const ERA_STRIDE: u64 = POOL_MAX as u64 + 1;
 /// After this many hold times without a leader a bootstrap is tried even if a quorum of voters seems alive.
 const LEADERLESS_HOLDS_BEFORE_BOOTSTRAP: i64 = 12;
+/// Bytes of a message body that are reserved beside the entries of an answer to a fetch.
+const FETCHED_ENTRIES_OVERHEAD: usize = 8;
 
 /// Raft's persistent state (figure 2 of the paper): on disk if there is a disk.
+/// Its encoding follows the order of the fields.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PersistentState {
+    /// The seat that wrote the state.
     pub seat: Seat,
+    /// Identifies this state; with the seat it identifies the voter.
     pub memory: Memory,
     /// Raft's `currentTerm`.
     pub term: Term,
@@ -46,6 +51,7 @@
     /// First term and voters of an era that this instance has accepted but whose leader it has not heard
     /// from. Until it does, it votes and leads in no other era.
     pub pending_bootstrap: Option<(Term, Voters)>,
+    /// The replicated log.
     pub log: Log,
 }
 
@@ -101,6 +107,7 @@
     deadline: Tenths,
 }
 
+/// What only the leader of a term keeps.
 #[derive(Clone, Debug, Hash)]
 struct LeaderState {
     followers: BTreeMap<Voter, Progress>,
@@ -115,6 +122,7 @@
     transfer: Option<LeadershipTransfer>,
 }
 
+/// Raft's server states (figure 4 of the paper), and the leader that a bootstrap names.
 #[derive(Clone, Debug, Hash)]
 enum Role {
     Follower,
@@ -193,10 +201,13 @@
     /// Holds the leader, if it is known.
     #[error("this instance is not the leader; the known leader is {0:?}")]
     NotLeader(Option<Seat>),
+    /// The first entry of the term is not committed, or a transfer is in progress.
     #[error("the leader has no valid lease yet, or is transferring leadership")]
     NoLease,
+    /// See [`MAX_UNCOMMITTED_ENTRIES`].
     #[error("{} entries already wait for a quorum", MAX_UNCOMMITTED_ENTRIES)]
     TooManyPending,
+    /// The seat has no voter that follows this leader.
     #[error("the successor is not a voter that the leader replicates to")]
     UnknownSuccessor,
 }
@@ -386,6 +397,7 @@
         Tenths(rank * self.bounds.round_trip.0) + self.jitter()
     }
 
+    /// Marks the persistent state as changed in this step.
     fn mark_dirty(&mut self) {
         self.dirty = true;
     }
@@ -397,14 +409,15 @@
     /// Ends a step. Returns the version of the persistent state that must be written now, if any, and the
     /// messages that may be sent now.
     ///
-    /// Messages of a step that changed the persistent state are held back until [`RaftNode::on_persisted`].
+    /// A message is held back until the state that it depends on is persisted; see
+    /// [`RaftNode::on_persisted`].
     pub fn finish_step(&mut self, now: Tenths) -> (Option<u64>, Vec<(Seat, Message)>) {
-        let mut unpersisted = None;
+        let mut version_to_persist = None;
         loop {
             if std::mem::take(&mut self.dirty) {
                 self.version += 1;
                 self.unpersisted.push_back((self.version, self.persistent.log.last().1));
-                unpersisted = Some(self.version);
+                version_to_persist = Some(self.version);
             }
             let version = self.version;
             self.pending_messages.extend(self.outbox.drain(..).map(|(to, message)| (version, to, message)));
@@ -424,7 +437,7 @@
         while self.pending_messages.len() > MAX_PENDING_MESSAGES {
             self.pending_messages.pop_front();
         }
-        (unpersisted.filter(|_| self.bounds.durable), messages)
+        (version_to_persist.filter(|_| self.bounds.durable), messages)
     }
 
     /// The persistent state of this version, and of all earlier ones, survives a crash.
@@ -483,6 +496,7 @@
         self.bootstrap_at = now + self.bounds.hold;
     }
 
+    /// Gives up any role and follows; reported as an event if this instance led.
     fn step_down(&mut self, now: Tenths, reason: &'static str) {
         if let Role::Leader(leader) = &self.role {
             // Writes made under the lease may still be in flight, so this voter helps no other candidate
@@ -550,12 +564,13 @@
 
     // --- Elections ----------------------------------------------------------------------------------
 
-    /// Whether an era was accepted whose leader has not been heard from.
+    /// Whether an era was accepted whose configuration is not in the log yet.
     fn is_bootstrap_pending(&self) -> bool {
         let pending = &self.persistent.pending_bootstrap;
         pending.as_ref().is_some_and(|(first_term, _)| self.persistent.log.voters().1 < *first_term)
     }
 
+    /// Whether this instance may vote and stand as a candidate.
     fn can_vote(&self) -> bool {
         self.voters().contains(&self.id) && !self.is_bootstrap_pending()
     }
@@ -615,6 +630,7 @@
         self.become_leader(now);
     }
 
+    /// Becomes the leader of the current term: appends its first entry and sends heartbeats.
     fn become_leader(&mut self, now: Tenths) {
         let next_number = self.persistent.log.last().1.next();
         let new = |_: Voter| Progress {
@@ -637,7 +653,8 @@
             followers,
             last_append: 0,
             heartbeat_rounds: VecDeque::new(),
-            // No lease to act exists until a quorum has answered; the new leader has one lease time for that.
+            // The new leader has one lease time to get answers from a quorum. Before that it can't act, since
+            // its first entry is not committed.
             lease_until: now + self.bounds.lease(),
             opening_number,
             leader_since: now,
@@ -662,9 +679,9 @@
             // Adopts the term, without a vote in it, so that the next pre-vote asks for a high enough one.
             return self.advance_term(now, own);
         }
-        if let Role::Candidate { pre_vote: true, granted: all, .. } = &mut self.role {
+        if let Role::Candidate { pre_vote: true, granted: votes, .. } = &mut self.role {
             if granted && term == self.persistent.term.next() {
-                all.insert(voter);
+                votes.insert(voter);
                 self.count_votes(now);
             }
         }
@@ -705,9 +722,9 @@
         if term > self.persistent.term {
             return self.advance_term(now, term);
         }
-        if let Role::Candidate { pre_vote: false, granted: all, .. } = &mut self.role {
+        if let Role::Candidate { pre_vote: false, granted: votes, .. } = &mut self.role {
             if granted && term == self.persistent.term {
-                all.insert(voter);
+                votes.insert(voter);
                 self.count_votes(now);
             }
         }
@@ -715,6 +732,7 @@
 
     // --- Heartbeats and replication -----------------------------------------------------------------
 
+    /// Sends an append to each follower, which also renews the lease once a quorum has answered.
     fn send_heartbeats(&mut self, now: Tenths) {
         let interval = self.bounds.beat();
         let Role::Leader(leader) = &mut self.role else { return };
@@ -732,6 +750,7 @@
         self.advance_commit(now);
     }
 
+    /// Sends a follower the entries that it lacks, as many as fit into a datagram.
     fn send_append(&mut self, voter: Voter) {
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.followers.get_mut(&voter) else { return };
@@ -744,9 +763,9 @@
         let term_before = log.term_at(before).unwrap_or_default();
         let (term, memory, round) = (self.persistent.term, self.id.memory, leader.last_append);
         let (before, commit) = ((term_before, before), log.commit_number());
-        let with = |entries| Message::Append { term, memory, round, before, commit, entries };
-        let room = BODY_MAX - with(Vec::new()).encode().len();
-        let message = with(fitting(log.entries_after(before.1), room));
+        let append_with = |entries| Message::Append { term, memory, round, before, commit, entries };
+        let room = BODY_MAX - append_with(Vec::new()).encode().len();
+        let message = append_with(fitting(log.entries_after(before.1), room));
         self.send(voter.seat, message);
     }
 
@@ -764,7 +783,7 @@
         }
         self.advance_term(now, term);
         if self.is_leader() {
-            // A term has one leader, so this message can't be genuine.
+            // A term has at most one leader, so a second one's message is ignored.
             return;
         }
         self.role = Role::Follower;
@@ -957,6 +976,7 @@
         }
     }
 
+    /// Appends a command to the leader's own log.
     fn append_command(&mut self, command: Command) -> Number {
         let number = self.persistent.log.append(self.persistent.term, self.id.seat, command);
         self.mark_dirty();
@@ -972,7 +992,8 @@
     /// Proposes a command and returns its position in the log. [`Event::Committed`] reports it once a quorum
     /// has stored it.
     ///
-    /// A command that equals the latest of its subject, or one that still waits, is not appended again.
+    /// A command that equals the latest committed one of its subject is not appended again but reported as
+    /// committed once more. One that equals a command still waiting for its quorum is not appended either.
     pub fn propose(&mut self, now: Tenths, command: Command) -> Result<Number, CommandError> {
         if !self.is_leader() {
             return Err(CommandError::NotLeader(self.leader));
@@ -1077,6 +1098,7 @@
         }
     }
 
+    /// Tells the successor to take over once it is caught up and no earlier lease can be valid.
     fn continue_transfer(&mut self, now: Tenths) {
         let last = self.persistent.log.last().1;
         let Role::Leader(leader) = &self.role else { return };
@@ -1135,7 +1157,7 @@
         let has_entries = log.term_at(after.1) == Some(after.0) && after.1 >= log.base_number();
         if has_entries && snapshot_number == Number(0) {
             let committed = log.entries_after(after.1).take_while(|e| e.number <= log.commit_number());
-            let entries = fitting(committed, BODY_MAX - 8);
+            let entries = fitting(committed, BODY_MAX - FETCHED_ENTRIES_OVERHEAD);
             if !entries.is_empty() {
                 self.send(from, Message::Decrees { entries });
             }
@@ -1212,6 +1234,7 @@
         self.bounds.pool.iter().filter(present).copied().collect()
     }
 
+    /// Whether a quorum of the voters, with their memories, is alive as far as the failure detector knows.
     fn quorum_seems_alive(&self, members: &Members) -> bool {
         let voters = self.voters();
         let alive = |v: &Voter| *v == self.id || members.memory(v.seat) == Some(v.memory);
@@ -1275,6 +1298,7 @@
         }
     }
 
+    /// What this instance tells the initiator of a bootstrap about its state.
     fn bootstrap_answer(&self) -> Promised {
         let era = self.highest_era.max(self.persistent.term.era());
         Promised { era, memory: self.id.memory, last: self.persistent.log.last() }
@@ -1300,6 +1324,7 @@
         self.propose_bootstrap(now);
     }
 
+    /// Another instance starts an era: promises to take part in no earlier one, unless there is a leader.
     fn on_bootstrap_request(&mut self, now: Tenths, from: Seat, era: Era, asker: Life) {
         // An instance that leads, or that has a leader, promises nothing.
         let has_leader = self.is_leader() || (self.leader.is_some() && now < self.hold_until);
@@ -1322,6 +1347,7 @@
         self.send(from, Message::FoundAnswer { asked: era, asker, busy, promised });
     }
 
+    /// An instance of the pool has answered the bootstrap request. A refusal ends the attempt.
     fn on_bootstrap_answer(
         &mut self, now: Tenths, from: Seat, era: Era, asker: Life, busy: bool, promised: Promised,
     ) {
@@ -1370,6 +1396,7 @@
         self.on_bootstrap_proposal(now, era, asker, voters, leader);
     }
 
+    /// Accepts the configuration of a new era, if this instance's promise to its initiator still holds.
     fn on_bootstrap_proposal(
         &mut self, now: Tenths, era: Era, initiator: Life, voters: Voters, leader: Voter,
     ) {
