--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -1258,8 +1258,8 @@
         }
         if let Some(bootstrap) = &self.bootstrap {
             if now >= bootstrap.until {
-                // Only this process could propose the era's configuration, and it will not: the own promise
-                // is void.
+                // Only this process could propose the era's configuration and it no longer will, so its own
+                // promise is void.
                 (self.bootstrap, self.bootstrap_promise) = (None, None);
                 self.bootstrap_at = now + self.bounds.hold + self.jitter();
             } else if now >= bootstrap.resend_at {
