--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -74,7 +74,7 @@
         }
         Some("check") => {
             let launch = read(&config, &operators, Reading::Start)?;
-            println!("{}: {} pods known, all well", launch.name, launch.known.rows.len());
+            println!("{}: {} pods known, all well", launch.name, launch.known.pods.len());
             if let Some(leadership) = &launch.operators.leadership {
                 let b = &leadership.bounds;
                 let pool: Vec<u16> = b.pool.iter().map(|s| s.0).collect();
--- a/crates/stagepond-sidecar/src/front.rs
+++ b/crates/stagepond-sidecar/src/front.rs
@@ -48,7 +48,7 @@
 /// 2 s, and places held for that long would let in fewer than knock.
 const FULL: f64 = 0.9;
 /// With its buffer and a body, the most that one connection holds.
-pub const CONNECTION_BYTES: usize = HEAD_MAX + BODY_MAX;
+pub const CONNECTION_BYTES: usize = HEAD_MAX + MAX_BODY_BYTES;
 const ID_MAX: usize = 128;
 /// No client waits for longer on one connection; the module forgets machines that are gone for longer.
 const LIMIT_MAX: Tenths = Tenths::ms(600_000);
@@ -125,7 +125,7 @@
     ready: AtomicBool,
     leaving: AtomicBool,
     tickets: AtomicU64,
-    owed: Mutex<HashMap<Ticket, oneshot::Sender<FinalAnswer>>>,
+    owed: Mutex<HashMap<InvocationNumber, oneshot::Sender<FinalAnswer>>>,
     clients: Mutex<BTreeMap<u64, Client>>,
     clients_max: usize,
     changed: Notify,
@@ -164,11 +164,11 @@
         self.clients.lock().expect("never held while panicking")
     }
 
-    fn owed(&self) -> MutexGuard<'_, HashMap<Ticket, oneshot::Sender<FinalAnswer>>> {
+    fn owed(&self) -> MutexGuard<'_, HashMap<InvocationNumber, oneshot::Sender<FinalAnswer>>> {
         self.owed.lock().expect("never held while panicking")
     }
 
-    pub fn answer(&self, ticket: Ticket, answer: FinalAnswer) {
+    pub fn answer(&self, ticket: InvocationNumber, answer: FinalAnswer) {
         let owed = self.owed().remove(&ticket);
         // Nobody waits where the client has gone; the reducer is told of that in its turn.
         if let Some(owed) = owed {
@@ -286,7 +286,7 @@
     async fn room(&self) {
         while !self.has_room() {
             // Time alone may make one fit to go.
-            let _ = tokio::time::timeout(duration(NEWCOMER), self.changed.notified()).await;
+            let _ = tokio::time::timeout(to_std_duration(NEWCOMER), self.changed.notified()).await;
         }
     }
 
@@ -294,7 +294,7 @@
     async fn sweep(self: Arc<Front>) {
         let mut last = self.clock.now();
         loop {
-            tokio::time::sleep(duration(SWEEP_EVERY)).await;
+            tokio::time::sleep(to_std_duration(SWEEP_EVERY)).await;
             let now = self.clock.now();
             // After this process stood still, what had come in time is read first.
             let stood_still = now > last + SWEEP_EVERY + SWEEP_EVERY;
@@ -349,7 +349,7 @@
     fn tell_if_empty(&self) {
         let empty = self.clients().is_empty();
         if empty && self.leaving.load(Ordering::Relaxed) {
-            let _ = self.inputs.send(Input::FrontEmpty);
+            let _ = self.inputs.send(Input::AllClientsDisconnected);
         }
     }
 
@@ -414,7 +414,7 @@
 /// taken in for a head that is wrong.
 fn check(
     operations: &Operations, method: &Method, uri: &Uri, headers: &HeaderMap,
-) -> Result<(Op, ClientId, Tenths), Malformed> {
+) -> Result<(Op, RequestId, Tenths), Malformed> {
     let first = uri.path().split('/').nth(1).unwrap_or_default();
     let op = operations.0.iter().position(|(name, _)| name == first);
     let op = op.ok_or_else(|| (StatusCode::NOT_FOUND, format!("no operation {first:?}\n")))?;
@@ -440,16 +440,19 @@
         return Err(malformed("Idempotency-Key is missing"));
     }
     let length = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    if length.is_some_and(|length| length > BODY_MAX as u64) {
-        return Err((StatusCode::PAYLOAD_TOO_LARGE, format!("a body holds at most {BODY_MAX} bytes\n")));
+    if length.is_some_and(|length| length > MAX_BODY_BYTES as u64) {
+        return Err((
+            StatusCode::PAYLOAD_TOO_LARGE,
+            format!("a body holds at most {MAX_BODY_BYTES} bytes\n"),
+        ));
     }
-    Ok((Op(op), ClientId(id.into()), limit))
+    Ok((Op(op), RequestId(id.into()), limit))
 }
 
 /// Tells the reducer when the client goes before it has its answer.
 struct Waiting {
     front: Arc<Front>,
-    ticket: Ticket,
+    ticket: InvocationNumber,
     connection: u64,
 }
 
@@ -457,7 +460,7 @@
     fn drop(&mut self) {
         self.front.set_idle(self.connection, true);
         if self.front.owed().remove(&self.ticket).is_some() {
-            let _ = self.front.inputs.send(Input::Left(self.ticket));
+            let _ = self.front.inputs.send(Input::ClientDisconnected(self.ticket));
         }
     }
 }
@@ -476,7 +479,7 @@
     };
     // Where the length is not told ahead, nobody but the library knows where the next message would begin.
     let last = head.headers.contains_key(header::TRANSFER_ENCODING);
-    let body = match Limited::new(body, BODY_MAX).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<LengthLimitError>() => {
             return close_after(StatusCode::PAYLOAD_TOO_LARGE.into_response());
@@ -486,14 +489,20 @@
     let (method, uri, mut headers) = (head.method, head.uri, head.headers);
     HOP.iter().for_each(|name| drop(headers.remove(name)));
     let target = uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/"));
-    let call = Arc::new(Call { method, target, headers, body });
-    let ticket = Ticket(front.tickets.fetch_add(1, Ordering::Relaxed));
+    let call = Arc::new(ForwardedRequest { method, target, headers, body });
+    let ticket = InvocationNumber(front.tickets.fetch_add(1, Ordering::Relaxed));
     let (owed, answer) = oneshot::channel();
     front.owed().insert(ticket, owed);
     front.set_idle(connection.number, false);
     let waiting = Waiting { front: front.clone(), ticket, connection: connection.number };
     let until = connection.trace.came_at() + limit;
-    let _ = front.inputs.send(Input::Arrived { ticket, id, call, op, until });
+    let _ = front.inputs.send(Input::InvocationReceived {
+        number: ticket,
+        request_id: id,
+        request: call,
+        op,
+        deadline: until,
+    });
     let answer = answer.await;
     drop(waiting);
     let response = worded(answer);
@@ -529,9 +538,9 @@
             response.headers_mut().remove(LOAD);
             response
         }
-        Ok(FinalAnswer::Throttled { stay_away }) => throttled(stay_away),
-        Ok(FinalAnswer::IdTaken) => StatusCode::CONFLICT.into_response(),
-        Ok(FinalAnswer::Unverified { failed, stay_away }) => {
+        Ok(FinalAnswer::Throttled { retry_after: stay_away }) => throttled(stay_away),
+        Ok(FinalAnswer::RequestIdInUse) => StatusCode::CONFLICT.into_response(),
+        Ok(FinalAnswer::Unverified { failed_check: failed, retry_after: stay_away }) => {
             let words = format!("no pod gave what was signed: {failed}\n");
             let mut response = match stay_away {
                 Some(stay_away) => throttled(stay_away),
--- a/crates/stagepond-sidecar/src/launch.rs
+++ b/crates/stagepond-sidecar/src/launch.rs
@@ -10,7 +10,7 @@
 use stagepond_facts::Names;
 
 use crate::discovery;
-use crate::messages::{Changes, List, Places, Standing};
+use crate::messages::{PodList, ReloadableConfig, RolloutStatus, ServiceAddresses};
 use crate::operators::Operators;
 
 /// What the transport takes from the settings; the module's part is in `Facts`.
@@ -25,13 +25,13 @@
 pub struct Launch {
     pub name: String,
     pub listen: SocketAddr,
-    pub places: Places,
+    pub places: ServiceAddresses,
     pub seed: u64,
     pub peer_listen: Option<SocketAddr>,
     pub peers: Vec<SocketAddr>,
     pub peers_all: Option<SocketAddr>,
-    pub standing: Option<Standing>,
-    pub known: List,
+    pub standing: Option<RolloutStatus>,
+    pub known: PodList,
     pub facts: Facts,
     pub names: Names,
     pub transport: Transport,
@@ -84,7 +84,7 @@
 }
 
 impl StandingForm {
-    pub fn read(self) -> Result<Standing> {
+    pub fn read(self) -> Result<RolloutStatus> {
         let phase = match self.phase.as_str() {
             "Progressing" => Phase::Trial,
             "Aborting" => Phase::GoingBack,
@@ -99,14 +99,14 @@
             bail!("age_ms: {} is no time", self.age_ms);
         }
         let since = Tenths::floor(self.age_ms);
-        Ok(Standing { build: Build(self.build), stage: self.stage, phase, cap: self.cap, since })
+        Ok(RolloutStatus { build: Build(self.build), stage: self.stage, phase, cap: self.cap, age: since })
     }
 }
 
 impl Launch {
     /// What of it may change while the program runs.
-    pub fn changes(self) -> Changes {
-        Changes { places: self.places, leadership: self.operators.leadership }
+    pub fn changes(self) -> ReloadableConfig {
+        ReloadableConfig { addresses: self.places, leadership: self.operators.leadership }
     }
 }
 
@@ -158,7 +158,7 @@
     }
     let known = match form.known {
         Some(known) => discovery::decode(known, &names).context("known")?,
-        None => List { index: 0, whole: true, rows: Vec::new() },
+        None => PodList { index: 0, is_snapshot: true, pods: Vec::new() },
     };
     let absent = [
         ("/bounds/probing", "probes"),
@@ -177,13 +177,13 @@
     Ok(Launch {
         name: given("name", "BALANCER_NAME", form.name)?,
         listen: address("listen", &given("listen", "BALANCER_LISTEN", form.listen)?)?,
-        places: Places { discovery: address("discovery", &discovery)?, platform },
+        places: ServiceAddresses { discovery: address("discovery", &discovery)?, platform },
         seed: seed.map_err(|_| anyhow!("seed: {:?} is not a 64 bit number in hex", form.seed))?,
         peer_listen,
         peers,
         peers_all: optional("peers_all", &form.peers_all)?,
         standing: news.map(StandingForm::read).transpose().context("pipeline.news")?,
-        known: List { whole: true, ..known },
+        known: PodList { is_snapshot: true, ..known },
         transport: Transport {
             connect_timeout: ms("/bounds/connect_timeout_ms")?,
             idle_close: ms("/bounds/idle_close_ms")?,
--- a/crates/stagepond-sidecar/src/leading.rs
+++ b/crates/stagepond-sidecar/src/leading.rs
@@ -14,7 +14,7 @@
 use stagepond_leadership::seal::FORM;
 use stagepond_leadership::wire::Health;
 
-use crate::messages::{Effect, Standing};
+use crate::messages::{Effect, RolloutStatus};
 use crate::operators::{KeyRing, Leadership};
 
 /// What happened, for the log: each kind has a name of its own there.
@@ -58,7 +58,7 @@
     instance: Instance,
     widen_by_decree: bool,
     /// What the platform said last, and when.
-    said: Option<(Standing, Tenths)>,
+    said: Option<(RolloutStatus, Tenths)>,
     /// Shares that decrees allow, in millionths, by build; and builds whose trial must not grow, with the
     /// share that they had.
     widened: BTreeMap<Build, u32>,
@@ -139,7 +139,7 @@
                 self.dropped = (all, now + COMPLAIN_EVERY);
                 let counts: Vec<String> =
                     dropped.iter().filter(|(_, n)| **n > 0).map(|(why, n)| format!("{why:?}={n}")).collect();
-                came.effects.push(Effect::Note(Note::Dropped { counts: counts.join(" ") }));
+                came.effects.push(Effect::LogLeadershipEvent(Note::Dropped { counts: counts.join(" ") }));
             }
         }
         came
@@ -224,7 +224,7 @@
     }
 
     /// The platform's word, with the share that may be used of it here.
-    pub fn standing(&mut self, now: Tenths, standing: Standing) -> (Standing, Came) {
+    pub fn standing(&mut self, now: Tenths, standing: RolloutStatus) -> (RolloutStatus, Came) {
         let newer = self.said.is_none_or(|(old, _)| standing.build >= old.build);
         if newer {
             self.said = Some((standing, now));
@@ -234,13 +234,13 @@
     }
 
     /// What the platform said last, as old as it is now, with the share that may be used of it.
-    pub fn said(&mut self, now: Tenths) -> Option<Standing> {
+    pub fn said(&mut self, now: Tenths) -> Option<RolloutStatus> {
         let (said, at) = self.said?;
-        Some(self.allowed(Standing { since: said.since + (now - at), ..said }))
+        Some(self.allowed(RolloutStatus { age: said.age + (now - at), ..said }))
     }
 
     /// A lower cap binds at once and a release is the platform's own; only growth waits for a decree.
-    fn allowed(&mut self, standing: Standing) -> Standing {
+    fn allowed(&mut self, standing: RolloutStatus) -> RolloutStatus {
         let mut cap = standing.cap;
         if standing.phase == Phase::Trial {
             if self.widen_by_decree && standing.stage > 0 {
@@ -253,7 +253,7 @@
             cap = self.frozen.get(&standing.build).map_or(cap, |frozen| cap.min(*frozen));
         }
         self.told = Some((standing.build, cap));
-        Standing { cap, ..standing }
+        RolloutStatus { cap, ..standing }
     }
 
     fn ask_to_widen(&mut self, now: Tenths) -> Came {
@@ -274,16 +274,21 @@
         for out in self.instance.step(now, input) {
             match out {
                 Out::Send { to, bytes } => {
-                    came.effects.push(Effect::Tell { to: Some(Peer(usize::from(to.0))), words: bytes });
+                    came.effects
+                        .push(Effect::SendDatagram { to: Some(Peer(usize::from(to.0))), payload: bytes });
+                }
+                Out::Keep { number, promises } => {
+                    came.effects.push(Effect::PersistPromises { number, promises })
                 }
-                Out::Keep { number, promises } => came.effects.push(Effect::Keep { number, promises }),
                 Out::Leads(mandate) => {
                     asks = true;
-                    came.effects
-                        .push(Effect::Note(Note::Leads { term: mandate.term(), until: mandate.until() }));
+                    came.effects.push(Effect::LogLeadershipEvent(Note::Leads {
+                        term: mandate.term(),
+                        until: mandate.until(),
+                    }));
                 }
                 Out::SteppedDown { term, why } => {
-                    came.effects.push(Effect::Note(Note::SteppedDown { term, why }));
+                    came.effects.push(Effect::LogLeadershipEvent(Note::SteppedDown { term, why }));
                 }
                 Out::InForce { entry, mandate } => {
                     let vote = self.vote(&entry.decree, mandate);
@@ -292,23 +297,29 @@
                     // What was held back while it was frozen is asked for again.
                     asks |= matches!(entry.decree, Decree::Freeze { frozen: false, .. });
                     let decree = format!("{:?}", entry.decree);
-                    came.effects.push(Effect::Note(Note::InForce { term, number, holder, decree }));
+                    came.effects.push(Effect::LogLeadershipEvent(Note::InForce {
+                        term,
+                        number,
+                        holder,
+                        decree,
+                    }));
                     came.effects.extend(vote);
                 }
                 Out::CaughtUp { number } => {
                     came.again = true;
-                    came.effects.push(Effect::Note(Note::CaughtUp { number }));
+                    came.effects.push(Effect::LogLeadershipEvent(Note::CaughtUp { number }));
                     self.look_up_all();
                 }
                 Out::Founded { era } => {
-                    came.effects.push(Effect::Note(Note::Founded { term: Term::founding(era) }));
+                    came.effects
+                        .push(Effect::LogLeadershipEvent(Note::Founded { term: Term::founding(era) }));
                 }
                 Out::Refused { decree, why } => {
                     let (decree, why) = (format!("{decree:?}"), why.to_string());
-                    came.effects.push(Effect::Note(Note::Refused { decree, why }));
+                    came.effects.push(Effect::LogLeadershipEvent(Note::Refused { decree, why }));
                 }
                 Out::Member { seat, health } => {
-                    came.effects.push(Effect::Note(Note::Member { seat, health }));
+                    came.effects.push(Effect::LogLeadershipEvent(Note::Member { seat, health }));
                 }
             }
         }
@@ -338,7 +349,7 @@
             Voice::Back => Some(Verdict::Back),
             Voice::Withdrawn => None,
         };
-        Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(mandate) })
+        Some(Effect::CastVote { build: Build(build), stage, verdict, mandate: Some(mandate) })
     }
 
     /// Whether a decree changes what share of a trial may be used.
--- a/crates/stagepond-sidecar/src/leading_stories.rs
+++ b/crates/stagepond-sidecar/src/leading_stories.rs
@@ -9,7 +9,7 @@
 use crate::leading::{Leading, Note};
 use crate::messages::*;
 use crate::operators::{KeyRing, Leadership};
-use crate::stories::{facts, list, row, Story, BEGIN};
+use crate::reducer_tests::{pod_entry, pod_list, test_facts, ReducerHarness, START_TIME};
 
 const SIDECARS: usize = 3;
 const STEP: Tenths = Tenths::ms(5);
@@ -26,7 +26,7 @@
 }
 
 struct Trio {
-    stories: Vec<Story>,
+    stories: Vec<ReducerHarness>,
     /// Nothing goes to or comes from this one.
     cut: Option<usize>,
     now: Tenths,
@@ -37,22 +37,22 @@
 impl Trio {
     fn begins() -> Trio {
         let story = |me: usize| {
-            let facts = Facts { me: Peer(me), sidecars: SIDECARS, peers: true, ..facts() };
-            let leading = Leading::new(BEGIN + Tenths(me as i64), Peer(me), me as u64, &asked(), None);
-            Story::led(facts, vec![row(1, 1), row(2, 1)], Some(leading))
+            let facts = Facts { me: Peer(me), sidecars: SIDECARS, peers: true, ..test_facts() };
+            let leading = Leading::new(START_TIME + Tenths(me as i64), Peer(me), me as u64, &asked(), None);
+            ReducerHarness::with_leadership(facts, vec![pod_entry(1, 1), pod_entry(2, 1)], Some(leading))
         };
-        Trio { stories: (0..SIDECARS).map(story).collect(), cut: None, now: BEGIN, votes: Vec::new() }
+        Trio { stories: (0..SIDECARS).map(story).collect(), cut: None, now: START_TIME, votes: Vec::new() }
     }
 
     fn effects(&mut self, of: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Tell { to: Some(Peer(to)), words }
+                Effect::SendDatagram { to: Some(Peer(to)), payload }
                     if self.cut != Some(of) && self.cut != Some(to) =>
                 {
-                    self.input(to, Input::Mail { from: Peer(of), words });
+                    self.input(to, Input::PeerDatagram { from: Peer(of), payload });
                 }
-                Effect::Vote { verdict: Some(verdict), mandate, .. } => {
+                Effect::CastVote { verdict: Some(verdict), mandate, .. } => {
                     let mandate = mandate.expect("where one leads nobody votes without leave");
                     assert!(mandate.check(self.now).is_ok());
                     self.votes.push((of, mandate.until(), verdict));
@@ -64,7 +64,7 @@
 
     fn input(&mut self, of: usize, input: Input) {
         self.stories[of].now = self.now;
-        let effects = self.stories[of].input(input);
+        let effects = self.stories[of].apply(input);
         self.effects(of, effects);
     }
 
@@ -82,7 +82,7 @@
 
     fn leaders(&self) -> Vec<usize> {
         let leads = |of: &usize| {
-            let leading = self.stories[*of].reducer.leading().unwrap();
+            let leading = self.stories[*of].reducer.leadership().unwrap();
             leading.instance().mandate(self.now).is_some()
         };
         (0..SIDECARS).filter(leads).collect()
@@ -98,13 +98,13 @@
     }
 
     fn trial(&mut self, stage: u32, cap: f64) {
-        let standing = Standing { build: Build(2), stage, phase: Phase::Trial, cap, since: Tenths(0) };
-        self.all(&Input::Listed(list(false, vec![row(3, 2)])));
-        self.all(&Input::Standing(standing));
+        let standing = RolloutStatus { build: Build(2), stage, phase: Phase::Trial, cap, age: Tenths(0) };
+        self.all(&Input::PodListReceived(pod_list(false, vec![pod_entry(3, 2)])));
+        self.all(&Input::RolloutStatusReceived(standing));
     }
 
     fn share(&self, of: usize) -> f64 {
-        self.stories[of].reducer.leading().unwrap().share().unwrap().1
+        self.stories[of].reducer.leadership().unwrap().share().unwrap().1
     }
 }
 
@@ -156,8 +156,10 @@
     let (mut trio, leader) = Trio::led();
     trio.trial(0, 0.1);
     let frozen = Leadership { frozen: vec![Build(2)], ..asked() };
-    let places = Places { discovery: ([127, 0, 0, 1], 1).into(), platform: None };
-    let reread = |leadership| Input::Reread(Ok(Changes { places, leadership: Some(leadership) }));
+    let places = ServiceAddresses { discovery: ([127, 0, 0, 1], 1).into(), platform: None };
+    let reread = |leadership| {
+        Input::ConfigRead(Ok(ReloadableConfig { addresses: places, leadership: Some(leadership) }))
+    };
     trio.input(leader, reread(frozen));
     trio.pass(Tenths::ms(1500));
     trio.trial(1, 0.4);
@@ -186,10 +188,10 @@
     for _ in 0..100 {
         let words = stranger.seal(to, b"x");
         trio.stories[leader].now = trio.now;
-        let effects = trio.stories[leader].input(Input::Mail { from: Peer(0), words });
+        let effects = trio.stories[leader].apply(Input::PeerDatagram { from: Peer(0), payload: words });
         told += effects
             .iter()
-            .filter(|e| matches!(e, Effect::Note(Note::Dropped { counts }) if counts.contains("UnknownKey")))
+            .filter(|e| matches!(e, Effect::LogLeadershipEvent(Note::Dropped { counts }) if counts.contains("UnknownKey")))
             .count();
     }
     assert_eq!(told, 1);
@@ -198,7 +200,7 @@
 #[rstest]
 fn a_planned_end_hands_the_lead_on() {
     let (mut trio, leader) = Trio::led();
-    trio.input(leader, Input::Leave);
+    trio.input(leader, Input::ShutdownRequested);
     trio.pass(Tenths::ms(700));
     let next = trio.leaders();
     assert!(next.len() == 1 && next[0] != leader, "{next:?}: sooner than any lease would end");
--- a/crates/stagepond-sidecar/src/lib.rs
+++ b/crates/stagepond-sidecar/src/lib.rs
@@ -1,5 +1,6 @@
-//! The sidecar as a library: one reducer that owns all state, and the parts on sockets around it. The binary
-//! `stagepond` starts it; the laboratory drives the reducer alone.
+//! The sidecar as a library: one reducer that owns all state, and the I/O tasks around it.
+//!
+//! The binary `stagepond` runs it on sockets; the tests drive the reducer alone.
 
 pub mod cli;
 pub mod discovery;
@@ -16,9 +17,9 @@
 pub mod platform;
 pub mod pods;
 pub mod reducer;
-pub mod shell;
 #[cfg(test)]
-mod stories;
+mod reducer_tests;
+pub mod shell;
 pub mod stream;
 pub mod verifying;
 #[cfg(test)]
--- a/crates/stagepond-sidecar/src/lifecycle.rs
+++ b/crates/stagepond-sidecar/src/lifecycle.rs
@@ -1,122 +1,152 @@
-//! The phases of the program from start to exit, as states of one object. It knows which may follow which
-//! and when; it never touches a socket: the reducer moves it, the shell carries out what a new state asks.
+//! Lifecycle of the program from start to exit.
+//!
+//! [`Lifecycle`] knows which state may follow which, and when. It touches no socket: the reducer drives it, and the
+//! event loop does what a new state requires.
 
 use stagepond::host::Tenths;
 
-/// Clients go on connecting for up to 0.4 s after the signal; the rest is for a busy machine.
-pub const LEAVING_FOR: Tenths = Tenths::ms(600);
-/// How long answers that are written but not yet read may keep the program.
-pub const FLUSH_FOR: Tenths = Tenths::ms(500);
-/// With a list from before the start only, this long is enough to hear from an agent on the same machine.
-pub const OLD_LIST_AFTER: Tenths = Tenths::ms(500);
-
-/// A file that is being replaced is whole again within moments.
-const REREAD_AFTER: Tenths = Tenths::ms(200);
-/// Then it was not being replaced but is wrong, and only another signal can mean that it has changed.
-const REREADS: u32 = 25;
-
-/// The configuration read once more after a signal: again and again while it can't be read, to a bound.
+/// How long the listener stays open after the shutdown signal. Clients keep connecting for up to 0.4 s after it;
+/// the rest is a margin for a busy machine.
+pub const LISTEN_AFTER_SHUTDOWN: Tenths = Tenths::ms(600);
+/// How long answers that are written but not yet read by their clients may delay the exit.
+pub const ANSWER_FLUSH_TIMEOUT: Tenths = Tenths::ms(500);
+/// How long to wait for a pod list from discovery before the list in the configuration is used. The agent is on the
+/// same machine and answers within this time.
+pub const FRESH_LIST_TIMEOUT: Tenths = Tenths::ms(500);
+
+/// Delay before a configuration file that could not be read is read again. A file that is being replaced is
+/// complete within moments.
+const CONFIG_RETRY_DELAY: Tenths = Tenths::ms(200);
+/// Reads after one reload signal. A file that is still invalid after that is not being replaced but wrong, and only
+/// another signal can mean that it has changed.
+const MAX_CONFIG_READS: u32 = 25;
+
+/// Retries of reading the configuration after a reload signal.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Rereading {
-    left: u32,
-    at: Option<Tenths>,
+pub struct ConfigRetry {
+    reads_left: u32,
+    retry_at: Option<Tenths>,
 }
 
-impl Rereading {
-    pub fn begin(&mut self) {
-        (self.left, self.at) = (REREADS, None);
+impl ConfigRetry {
+    /// Begins anew with the first read after a signal.
+    pub fn start(&mut self) {
+        self.reads_left = MAX_CONFIG_READS;
+        self.retry_at = None;
     }
 
-    pub fn done(&mut self) {
-        (self.left, self.at) = (0, None);
+    /// Ends the retries: the configuration was read.
+    pub fn finish(&mut self) {
+        self.reads_left = 0;
+        self.retry_at = None;
     }
 
-    /// Whether it is to be tried again.
-    pub fn failed(&mut self, now: Tenths) -> bool {
-        self.left = self.left.saturating_sub(1);
-        self.at = (self.left > 0).then_some(now + REREAD_AFTER);
-        self.at.is_some()
+    /// Records a failed read. Returns whether another one is scheduled.
+    pub fn record_failure(&mut self, now: Tenths) -> bool {
+        self.reads_left = self.reads_left.saturating_sub(1);
+        self.retry_at = (self.reads_left > 0).then_some(now + CONFIG_RETRY_DELAY);
+        self.retry_at.is_some()
     }
 
-    /// True once for each further try.
-    pub fn due(&mut self, now: Tenths) -> bool {
-        self.at.take_if(|at| *at <= now).is_some()
+    /// Returns true once for each scheduled read, when it is due.
+    pub fn take_due(&mut self, now: Tenths) -> bool {
+        self.retry_at.take_if(|at| *at <= now).is_some()
     }
 
-    pub fn next(&self) -> Tenths {
-        self.at.unwrap_or(Tenths::NEVER)
+    /// When the next read is due.
+    pub fn next_due(&self) -> Tenths {
+        self.retry_at.unwrap_or(Tenths::NEVER)
     }
 }
 
+/// State of the program, logged under its variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Not ready: the list of pods is still old.
+    /// Not ready: there is no pod yet, or only the list of the configuration.
     Starting,
     Ready,
-    /// Told to stop: idle connections go, new ones are still taken, for one invocation each.
+    /// Told to shut down: idle connections are closed; new ones are accepted, for one invocation each.
     Leaving,
-    /// The listener is closed; what was taken is being answered.
+    /// The listener is closed; invocations that were accepted are still answered.
     Draining,
     Stopped,
 }
 
+/// State machine of the program's lifecycle. Methods that may change the state return the new one.
 #[derive(Clone, Copy, Debug)]
 pub struct Lifecycle {
     state: State,
-    since: Tenths,
-    busy_at: Tenths,
-    closing: bool,
-    waited: bool,
+    entered_at: Tenths,
+    /// When an invocation was last unanswered, or the state was entered.
+    last_busy_at: Tenths,
+    /// The listener has been told to close.
+    listener_closing: bool,
+    /// [`FRESH_LIST_TIMEOUT`] has passed.
+    list_timed_out: bool,
 }
 
 impl Lifecycle {
+    /// Starts in [`State::Starting`].
     pub fn new(now: Tenths) -> Lifecycle {
-        Lifecycle { state: State::Starting, since: now, busy_at: now, closing: false, waited: false }
+        Lifecycle {
+            state: State::Starting,
+            entered_at: now,
+            last_busy_at: now,
+            listener_closing: false,
+            list_timed_out: false,
+        }
     }
 
     fn enter(&mut self, state: State, now: Tenths) -> Option<State> {
-        (self.state, self.since, self.busy_at) = (state, now, now);
+        self.state = state;
+        self.entered_at = now;
+        self.last_busy_at = now;
         Some(state)
     }
 
-    /// With pods `known` from a fresh list, or from an old one once a fresh one has had its time to come.
-    pub fn may_place(&mut self, now: Tenths, known: bool, fresh: bool) -> Option<State> {
-        self.waited |= now >= self.since + OLD_LIST_AFTER;
-        let may = self.state == State::Starting && known && (fresh || self.waited);
+    /// Becomes ready if pods are known, from a fresh list or, after [`FRESH_LIST_TIMEOUT`], from an old one.
+    pub fn try_become_ready(&mut self, now: Tenths, pods_known: bool, fresh_list: bool) -> Option<State> {
+        self.list_timed_out |= now >= self.entered_at + FRESH_LIST_TIMEOUT;
+        let may = self.state == State::Starting && pods_known && (fresh_list || self.list_timed_out);
         may.then(|| self.enter(State::Ready, now)).flatten()
     }
 
-    pub fn leave(&mut self, now: Tenths) -> Option<State> {
-        let awake = matches!(self.state, State::Starting | State::Ready);
-        awake.then(|| self.enter(State::Leaving, now)).flatten()
+    /// Starts the shutdown, unless it has started.
+    pub fn begin_shutdown(&mut self, now: Tenths) -> Option<State> {
+        let running = matches!(self.state, State::Starting | State::Ready);
+        running.then(|| self.enter(State::Leaving, now)).flatten()
     }
 
+    /// The listener is closed and every queued connection was accepted.
     pub fn listener_closed(&mut self, now: Tenths) -> Option<State> {
         (self.state == State::Leaving).then(|| self.enter(State::Draining, now)).flatten()
     }
 
-    /// `open` invocations are still owed an answer, `connected` tells whether a client's connection stands.
-    pub fn settle(&mut self, now: Tenths, open: usize, connected: bool) -> Option<State> {
-        if open > 0 {
-            self.busy_at = now;
+    /// Stops once no invocation is unanswered and either no client is connected or [`ANSWER_FLUSH_TIMEOUT`] has
+    /// passed.
+    pub fn try_stop(&mut self, now: Tenths, unanswered: usize, clients_connected: bool) -> Option<State> {
+        if unanswered > 0 {
+            self.last_busy_at = now;
         }
-        let done = open == 0 && (!connected || now >= self.busy_at + FLUSH_FOR);
+        let done = unanswered == 0 && (!clients_connected || now >= self.last_busy_at + ANSWER_FLUSH_TIMEOUT);
         (self.state == State::Draining && done).then(|| self.enter(State::Stopped, now)).flatten()
     }
 
-    /// True once: the listener has been open for long enough since the signal.
-    pub fn listened_enough(&mut self, now: Tenths) -> bool {
-        let enough = self.state == State::Leaving && !self.closing && now >= self.since + LEAVING_FOR;
-        self.closing |= enough;
-        enough
+    /// Returns true once, when the listener has been open for [`LISTEN_AFTER_SHUTDOWN`] since the signal.
+    pub fn take_listener_close(&mut self, now: Tenths) -> bool {
+        let due = self.state == State::Leaving
+            && !self.listener_closing
+            && now >= self.entered_at + LISTEN_AFTER_SHUTDOWN;
+        self.listener_closing |= due;
+        due
     }
 
-    /// When time alone moves it on.
-    pub fn next(&self) -> Tenths {
+    /// When the state may next change without an input.
+    pub fn next_due(&self) -> Tenths {
         match self.state {
-            State::Starting if !self.waited => self.since + OLD_LIST_AFTER,
-            State::Leaving if !self.closing => self.since + LEAVING_FOR,
-            State::Draining => self.busy_at + FLUSH_FOR,
+            State::Starting if !self.list_timed_out => self.entered_at + FRESH_LIST_TIMEOUT,
+            State::Leaving if !self.listener_closing => self.entered_at + LISTEN_AFTER_SHUTDOWN,
+            State::Draining => self.last_busy_at + ANSWER_FLUSH_TIMEOUT,
             _ => Tenths::NEVER,
         }
     }
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -1,6 +1,9 @@
-//! The small typed values that pass between the sockets and the reducer, and the clock they are stamped by.
-//! A message is decoded into one of these once, where it came in. Nothing here reads, writes or decides.
+//! Typed messages between the I/O tasks and the reducer, and the clock that timestamps them.
+//!
+//! A message is decoded into one of these types once, by the task that received it. This module does no I/O
+//! and makes no decisions.
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
@@ -11,217 +14,265 @@
 use stagepond::host::*;
 use stagepond_leadership::mandate::Mandate;
 
-/// The longest body of an invocation or an answer.
-pub const BODY_MAX: usize = 64 << 10;
+/// Longest body of an invocation or of a pod's response, in bytes.
+pub const MAX_BODY_BYTES: usize = 64 << 10;
 
-pub fn duration(t: Tenths) -> std::time::Duration {
-    std::time::Duration::from_micros(t.0.max(0) as u64 * 100)
+/// Converts a time span to [`std::time::Duration`]; a negative span becomes zero.
+pub fn to_std_duration(span: Tenths) -> std::time::Duration {
+    std::time::Duration::from_micros(span.0.max(0) as u64 * 100)
 }
 
-/// An invocation as the front counts them; the client's own id may come twice, this one never does.
+/// Number that this process gives an invocation, logged as `ticket`. It is never reused, whereas a client may
+/// send the same [`RequestId`] twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
+pub struct InvocationNumber(pub u64);
 
-/// The id that the client gave its invocation.
+/// Id that the client gave its invocation (`X-Request-ID`).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct ClientId(pub SmolStr);
+pub struct RequestId(pub SmolStr);
 
+/// Number of a dispatch, unique within this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct DispatchId(pub u64);
 
+/// Name under which discovery lists a pod.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PodName(pub SmolStr);
 
-/// What of an invocation goes on to a pod as it came.
+/// The parts of an invocation that are forwarded to a pod unchanged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Call {
+pub struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
-/// What of a pod's answer goes back to the client as it came.
+/// The parts of a pod's response that are returned to the client unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Reply {
+pub struct ForwardedResponse {
     pub headers: HeaderMap,
     pub body: Bytes,
 }
 
+/// The one answer that a client gets to an invocation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
-    Succeeded(Reply),
+    Succeeded(ForwardedResponse),
+    /// The invocation did not run; the client may retry after this time span.
     Throttled {
-        stay_away: Tenths,
+        retry_after: Tenths,
     },
+    /// The invocation failed and may have run.
     Terminated,
-    /// Another invocation with the same id is still known.
-    IdTaken,
-    /// Pods answered, and no answer was what was signed: the check that failed.
+    /// Another invocation with the same request id is still being handled.
+    RequestIdInUse,
+    /// Pods responded, but no response matched the signed metadata.
     Unverified {
-        failed: &'static str,
-        /// Asking again is harmless, and when to.
-        stay_away: Option<Tenths>,
+        /// Name of the check that failed.
+        failed_check: &'static str,
+        /// Set if a retry is harmless: the time span to wait before it.
+        retry_after: Option<Tenths>,
     },
 }
 
+/// One pod as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct PodEntry {
     pub name: PodName,
     pub address: SocketAddr,
     pub zone: Zone,
-    pub kind: Kind,
+    pub machine_kind: Kind,
     pub cell: Cell,
     pub availability: Availability,
+    /// Capacity relative to other pods.
     pub weight: f64,
-    pub born: Option<Tenths>,
+    /// When the pod's process started, if discovery knows.
+    pub started_at: Option<Tenths>,
     pub build: Build,
 }
 
+/// A message of discovery: all pods, or those that changed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List {
+pub struct PodList {
+    /// Discovery's version of the list.
     pub index: u64,
-    pub whole: bool,
-    pub rows: Vec<Row>,
+    /// True if pods that are missing from `pods` no longer exist; false if `pods` holds changes only.
+    pub is_snapshot: bool,
+    pub pods: Vec<PodEntry>,
 }
 
-/// How the newest build stands, and for how long it has stood so.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Standing {
+/// State of the newest build's rollout, as the platform reports it.
+#[derive(Clone, Copy, PartialEq)]
+pub struct RolloutStatus {
     pub build: Build,
     pub stage: u32,
     pub phase: Phase,
+    /// Greatest share of invocations that the build may get, from 0 to 1.
     pub cap: f64,
-    pub since: Tenths,
+    /// How long ago the rollout entered this stage and phase.
+    pub age: Tenths,
 }
 
-/// How a dispatch ended, as its connection showed it.
+/// Keeps the names `Standing` and `since`, which log readers match.
+impl fmt::Debug for RolloutStatus {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Standing")
+            .field("build", &self.build)
+            .field("stage", &self.stage)
+            .field("phase", &self.phase)
+            .field("cap", &self.cap)
+            .field("since", &self.age)
+            .finish()
+    }
+}
+
+/// How a dispatch ended, as observed on its connection.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct DispatchOutcome {
     pub ending: Ending,
-    pub at: Tenths,
+    pub ended_at: Tenths,
+    /// Number of invocations in progress at the pod, if it reported one.
     pub in_flight: Option<f64>,
-    pub reply: Reply,
-    /// The pod said that there is no such thing.
-    pub absent: bool,
+    pub response: ForwardedResponse,
+    /// The pod answered 404 Not Found.
+    pub not_found: bool,
 }
 
-/// Where discovery and the platform are: what a new configuration may change while the program runs.
+/// Addresses of discovery and of the platform. A configuration reload may change them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Places {
+pub struct ServiceAddresses {
     pub discovery: SocketAddr,
     pub platform: Option<SocketAddr>,
 }
 
-/// What a new configuration may change while the program runs.
+/// The part of the configuration that a reload may change.
 #[derive(Clone, Debug)]
-pub struct Changes {
-    pub places: Places,
-    /// The operators' word on leadership, where it is on: keys and frozen builds count anew.
+pub struct ReloadableConfig {
+    pub addresses: ServiceAddresses,
+    /// The operators' leadership settings, if leadership is on; its keys and frozen builds are applied again.
     pub leadership: Option<crate::operators::Leadership>,
 }
 
+/// What the reducer is told. Each input is applied at a time that the event loop passes with it.
 #[derive(Clone, Debug)]
 pub enum Input {
-    Arrived {
-        ticket: Ticket,
-        id: ClientId,
-        call: Arc<Call>,
+    InvocationReceived {
+        number: InvocationNumber,
+        request_id: RequestId,
+        request: Arc<ForwardedRequest>,
         op: Op,
-        until: Tenths,
+        /// The client's time limit, as a moment of the clock.
+        deadline: Tenths,
     },
-    Left(Ticket),
-    Ended(DispatchId, Outcome),
-    Listed(List),
-    ListBroke,
-    Standing(Standing),
-    VoteAnswered(Result<Standing, Ending>),
-    Disputed {
+    /// The client disconnected before its answer.
+    ClientDisconnected(InvocationNumber),
+    DispatchEnded(DispatchId, DispatchOutcome),
+    PodListReceived(PodList),
+    DiscoveryDisconnected,
+    RolloutStatusReceived(RolloutStatus),
+    /// The platform's answer to a vote, or how the request ended without one.
+    VoteAnswered(Result<RolloutStatus, Ending>),
+    /// A consumer disputed an answer that `pod` gave to an invocation of `op` this long ago.
+    AnswerDisputed {
         pod: PodName,
         op: Op,
         age: Tenths,
     },
-    Mail {
+    PeerDatagram {
         from: Peer,
-        words: Vec<u8>,
+        payload: Vec<u8>,
     },
-    /// Time has passed; what is due by now is done.
+    /// Time has passed; everything that is due by now runs.
     Tick,
-    /// The configuration may have been replaced.
-    Hangup,
-    /// What the file says now, or what is wrong with it.
-    Reread(Result<Changes, String>),
-    /// The promises of this number are on the disk.
-    Kept(u64),
-    Leave,
+    /// SIGHUP: the configuration file may have been replaced.
+    ReloadRequested,
+    /// The configuration file as it is now, or what is wrong with it.
+    ConfigRead(Result<ReloadableConfig, String>),
+    /// The promises with this number are on disk.
+    PromisesPersisted(u64),
+    /// SIGTERM or SIGINT.
+    ShutdownRequested,
     ListenerClosed,
-    FrontEmpty,
+    AllClientsDisconnected,
 }
 
+/// What the reducer asks the event loop to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
+    /// Send the request to the pod at `to`; the pod is told to answer within `timeout`.
     Dispatch {
         id: DispatchId,
-        call: Arc<Call>,
+        request: Arc<ForwardedRequest>,
         to: SocketAddr,
-        wait: Tenths,
+        timeout: Tenths,
     },
-    GiveUp(DispatchId),
-    Answer(Ticket, FinalAnswer),
-    DropIdle(SocketAddr),
-    Tell {
+    /// Close the dispatch's connection; its outcome is no longer wanted.
+    AbortDispatch(DispatchId),
+    Answer(InvocationNumber, FinalAnswer),
+    /// Close the idle connections to this pod address; busy ones close after their dispatch.
+    CloseIdleConnections(SocketAddr),
+    /// Send a datagram to one peer, or to all of them.
+    SendDatagram {
         to: Option<Peer>,
-        words: Vec<u8>,
+        payload: Vec<u8>,
     },
-    Vote {
+    /// Cast a vote on a trial, or withdraw it if `verdict` is `None`.
+    CastVote {
         build: Build,
         stage: u32,
         verdict: Option<Verdict>,
-        /// Where one leads: leave to cast it, to be shown to the clock in the last step before the write.
+        /// Set if leadership is on: the permission to cast the vote, checked against the clock immediately
+        /// before the request is written.
         mandate: Option<Mandate>,
     },
-    /// Promises to be written whole and flushed, then answered by `Kept`.
-    Keep {
+    /// Write these promises to disk in full and flush them, then report [`Input::PromisesPersisted`].
+    PersistPromises {
         number: u64,
         promises: Vec<u8>,
     },
-    Note(crate::leading::Note),
-    Told(crate::verifying::Told),
-    /// What is trusted of the metadata, to be written whole.
-    KeepTrusted(stagepond_tuf::client::Kept),
-    /// Ask discovery for the whole list once more.
-    WholeList,
-    /// Read the configuration file again and tell what it says.
-    Reread,
-    /// Discovery, or the platform, is here from now on.
-    Discovery(SocketAddr),
-    Platform(Option<SocketAddr>),
-    /// Take what waits to be accepted, then close.
+    /// Log an event of leadership.
+    LogLeadershipEvent(crate::leading::Note),
+    /// Log an event of metadata verification.
+    LogVerificationEvent(crate::verifying::Told),
+    /// Write the trusted metadata to disk in full.
+    PersistTrustedMetadata(stagepond_tuf::client::Kept),
+    /// Ask discovery for the full pod list again.
+    RequestPodSnapshot,
+    /// Read the configuration file again and report [`Input::ConfigRead`].
+    ReadConfig,
+    /// Connect to discovery at this address from now on.
+    SetDiscoveryAddress(SocketAddr),
+    /// Connect to the platform at this address from now on; `None` if there is none.
+    SetPlatformAddress(Option<SocketAddr>),
+    /// Accept the connections that are still queued, then close the listener.
     CloseListener,
     Log(String),
-    Enter(crate::lifecycle::State),
+    EnterState(crate::lifecycle::State),
 }
 
-/// Unix time in tenths of a millisecond, read from the system once and carried on by the monotonic clock: a
-/// step of the wall clock must not move time limits.
+/// Unix time in tenths of a millisecond, read from the system once and advanced by the monotonic clock, so that
+/// a step of the wall clock does not move time limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    unix: Tenths,
+    unix_at_start: Tenths,
     started: Instant,
 }
 
 impl Clock {
+    /// Reads the wall clock; all later times count from here.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: Tenths((unix.as_micros() / 100) as i64), started: Instant::now() }
+        Clock { unix_at_start: Tenths((unix.as_micros() / 100) as i64), started: Instant::now() }
     }
 
+    /// Current time.
     pub fn now(&self) -> Tenths {
-        self.unix + Tenths((self.started.elapsed().as_micros() / 100) as i64)
+        self.unix_at_start + Tenths((self.started.elapsed().as_micros() / 100) as i64)
     }
 
-    /// The first instant at which `now` has come to this.
-    pub fn instant(&self, at: Tenths) -> Instant {
-        self.started + std::time::Duration::from_micros(((at - self.unix).0.max(0) * 100) as u64)
+    /// Earliest instant at which [`Clock::now`] returns `at` or later.
+    pub fn to_instant(&self, at: Tenths) -> Instant {
+        self.started + std::time::Duration::from_micros(((at - self.unix_at_start).0.max(0) * 100) as u64)
     }
 }
--- a/crates/stagepond-sidecar/src/peers.rs
+++ b/crates/stagepond-sidecar/src/peers.rs
@@ -69,7 +69,11 @@
                 match peer.filter(|_| len <= DATAGRAM_MAX) {
                     Some(peer) if peer == me => {}
                     Some(from) => {
-                        if inputs.send(Input::Mail { from, words: words[..len].to_vec() }).await.is_err() {
+                        if inputs
+                            .send(Input::PeerDatagram { from, payload: words[..len].to_vec() })
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     }
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -39,7 +39,7 @@
 
 fn event(kind: &str, data: &str, names: &Names) -> Result<Option<Input>> {
     Ok(match kind {
-        "ROLLOUT" => Some(Input::Standing(
+        "ROLLOUT" => Some(Input::RolloutStatusReceived(
             serde_urlencoded::from_str::<StandingForm>(data).context(kind.to_string())?.read()?,
         )),
         "DISPUTE" => {
@@ -51,7 +51,7 @@
                 bail!("DISPUTE: age_ms {} is no time", told.age_ms);
             }
             let (pod, age) = (PodName(told.server.into()), Tenths::floor(told.age_ms));
-            Some(Input::Disputed { pod, op: Op(op), age })
+            Some(Input::AnswerDisputed { pod, op: Op(op), age })
         }
         _ => None,
     })
@@ -149,7 +149,7 @@
     }
 }
 
-async fn put(address: SocketAddr, vote: &Vote, clock: Clock) -> Result<Standing, Ending> {
+async fn put(address: SocketAddr, vote: &Vote, clock: Clock) -> Result<RolloutStatus, Ending> {
     let verdict = match vote.verdict {
         None => "abstain",
         Some(Verdict::On) => "promote",
@@ -220,7 +220,7 @@
     code: String,
 }
 
-fn outcome(status: StatusCode, body: &Bytes) -> Result<Standing, Ending> {
+fn outcome(status: StatusCode, body: &Bytes) -> Result<RolloutStatus, Ending> {
     let text = std::str::from_utf8(body).map_err(|_| Ending::TimedOut)?;
     if status == StatusCode::OK {
         let answer = quick_xml::de::from_str::<Answer>(text).map_err(|_| Ending::TimedOut)?;
--- a/crates/stagepond-sidecar/src/shell.rs
+++ b/crates/stagepond-sidecar/src/shell.rs
@@ -18,8 +18,8 @@
 use crate::messages::*;
 use crate::peers::Peers;
 use crate::platform::{self, Vote};
-use crate::pods::Pods;
-use crate::reducer::{Reducer, Switched};
+use crate::pods::PodClient;
+use crate::reducer::{OptionalParts, Reducer};
 use crate::verifying::{Told, Verifying};
 
 /// Descriptors for all but clients and pods: listener, datagrams, discovery, platform, votes, the runtime's
@@ -35,7 +35,9 @@
 /// A list passes three tasks from its socket to this loop: one turn of the runtime for each.
 const TURNS: usize = 3;
 
-pub async fn serve(launch: Launch, reread: impl Fn() -> Result<Changes>, mut hangups: Signal) -> Result<()> {
+pub async fn serve(
+    launch: Launch, reread: impl Fn() -> Result<ReloadableConfig>, mut hangups: Signal,
+) -> Result<()> {
     let clock = Clock::start();
     let mut leave = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
@@ -50,7 +52,7 @@
     let repeats = launch.facts.operations.iter().map(|o| o.repeat);
     let operations = Operations(names.operations.iter().cloned().zip(repeats).collect());
     let front = Front::new(operations, clients_max, clock, inputs.clone());
-    let mut pods = Pods::new(shared - clients_max, launch.transport, clock, inputs.clone());
+    let mut pods = PodClient::new(shared - clients_max, launch.transport, clock, inputs.clone());
     let peers = match launch.peer_listen {
         Some(at) => Some(Peers::bind(at, launch.peers, launch.peers_all).await?),
         None => None,
@@ -63,7 +65,7 @@
     let (discovery, place) = watch::channel(launch.places.discovery);
     tokio::spawn(discovery::watch(place, index, names.clone(), whole.clone(), news.clone()));
     let (votes, wanted) = mpsc::unbounded_channel();
-    let vote_wait = duration(launch.facts.vote_wait);
+    let vote_wait = to_std_duration(launch.facts.vote_wait);
     let (platform, place) = watch::channel(launch.places.platform);
     tokio::spawn(platform::listen(place.clone(), names.clone(), news.clone()));
     tokio::spawn(platform::votes(place, wanted, news.clone(), clock));
@@ -103,7 +105,7 @@
         launch.places,
         launch.known,
         launch.standing,
-        Switched { leading, verifying },
+        OptionalParts { leadership: leading, verification: verifying },
     );
     let mut batch = Vec::new();
     loop {
@@ -112,26 +114,32 @@
                 follow_effect(&effect);
             }
             match effect {
-                Effect::Dispatch { id, call, to, wait } => pods.dispatch(id, call, to, wait),
-                Effect::GiveUp(id) => pods.give_up(id),
+                Effect::Dispatch { id, request, to, timeout } => pods.dispatch(id, request, to, timeout),
+                Effect::AbortDispatch(id) => pods.abort(id),
                 Effect::Answer(ticket, answer) => front.answer(ticket, answer),
-                Effect::DropIdle(to) => pods.drop_idle(to),
-                Effect::Tell { to, words } => drop(peers.as_ref().map(|peers| peers.tell(to, &words))),
-                Effect::Vote { build, stage, verdict, mandate } => {
+                Effect::CloseIdleConnections(to) => pods.close_idle(to),
+                Effect::SendDatagram { to, payload } => {
+                    if let Some(peers) = &peers {
+                        peers.tell(to, &payload);
+                    }
+                }
+                Effect::CastVote { build, stage, verdict, mandate } => {
                     let until = tokio::time::Instant::now() + vote_wait;
                     let _ = votes.send(Vote { build, stage, verdict, until, mandate });
                 }
-                Effect::Keep { number, promises } => drop(keep.send((number, promises))),
-                Effect::KeepTrusted(kept) => drop(trust.send(kept)),
-                Effect::Told(told) => verified(told),
-                Effect::Note(note) => noted(note, clock.now()),
-                Effect::WholeList => whole.notify_one(),
-                Effect::Reread => batch.push(Input::Reread(reread().map_err(|error| format!("{error:#}")))),
-                Effect::Discovery(at) => drop(discovery.send_replace(at)),
-                Effect::Platform(at) => drop(platform.send_replace(at)),
+                Effect::PersistPromises { number, promises } => drop(keep.send((number, promises))),
+                Effect::PersistTrustedMetadata(kept) => drop(trust.send(kept)),
+                Effect::LogVerificationEvent(told) => verified(told),
+                Effect::LogLeadershipEvent(note) => noted(note, clock.now()),
+                Effect::RequestPodSnapshot => whole.notify_one(),
+                Effect::ReadConfig => {
+                    batch.push(Input::ConfigRead(reread().map_err(|error| format!("{error:#}"))))
+                }
+                Effect::SetDiscoveryAddress(at) => drop(discovery.send_replace(at)),
+                Effect::SetPlatformAddress(at) => drop(platform.send_replace(at)),
                 Effect::CloseListener => front.close_listener(),
                 Effect::Log(words) => tracing::info!("{words}"),
-                Effect::Enter(state) => {
+                Effect::EnterState(state) => {
                     tracing::info!(?state, "phase");
                     match state {
                         State::Starting => {}
@@ -146,13 +154,13 @@
                 }
             }
         }
-        let due = clock.instant(reducer.next_due()).into();
+        let due = clock.to_instant(reducer.next_due()).into();
         tokio::select! {
             biased;
             () = std::future::ready(()), if !batch.is_empty() => {}
-            _ = hangups.recv() => batch.push(Input::Hangup),
-            _ = leave.recv() => batch.push(Input::Leave),
-            _ = interrupt.recv() => batch.push(Input::Leave),
+            _ = hangups.recv() => batch.push(Input::ReloadRequested),
+            _ = leave.recv() => batch.push(Input::ShutdownRequested),
+            _ = interrupt.recv() => batch.push(Input::ShutdownRequested),
             Some(input) = told.recv() => batch.push(input),
             Some(input) = taken.recv() => batch.push(input),
             () = tokio::time::sleep_until(due) => {}
@@ -171,8 +179,8 @@
         }
         batch.push(Input::Tick);
         for input in batch.drain(..) {
-            if let Input::Ended(id, _) = &input {
-                pods.over(*id);
+            if let Input::DispatchEnded(id, _) = &input {
+                pods.forget(*id);
             }
             if tracing::enabled!(tracing::Level::DEBUG) {
                 follow_input(&input);
@@ -185,12 +193,12 @@
 /// An invocation's way through this sidecar, at level debug alone: its id, its ticket, its dispatches.
 fn follow_input(input: &Input) {
     match input {
-        Input::Arrived { ticket, id, op, until, .. } => {
-            tracing::debug!(event = "arrived", id = %id.0, ticket = ticket.0, op = op.0, until = until.0, "inv");
+        Input::InvocationReceived { number, request_id, op, deadline, .. } => {
+            tracing::debug!(event = "arrived", id = %request_id.0, ticket = number.0, op = op.0, until = deadline.0, "inv");
         }
-        Input::Left(ticket) => tracing::debug!(event = "left", ticket = ticket.0, "inv"),
-        Input::Ended(id, Outcome { ending, at, in_flight, .. }) => {
-            tracing::debug!(event = "ended", dispatch = id.0, ?ending, at = at.0, in_flight, "inv");
+        Input::ClientDisconnected(ticket) => tracing::debug!(event = "left", ticket = ticket.0, "inv"),
+        Input::DispatchEnded(id, DispatchOutcome { ending, ended_at, in_flight, .. }) => {
+            tracing::debug!(event = "ended", dispatch = id.0, ?ending, at = ended_at.0, in_flight, "inv");
         }
         _ => {}
     }
@@ -198,17 +206,17 @@
 
 fn follow_effect(effect: &Effect) {
     match effect {
-        Effect::Dispatch { id, call, to, wait } => {
-            let inv = call.headers.get(front::ID).and_then(|id| id.to_str().ok()).unwrap_or_default();
-            tracing::debug!(event = "dispatch", id = inv, dispatch = id.0, %to, wait = wait.0, "inv");
+        Effect::Dispatch { id, request, to, timeout } => {
+            let inv = request.headers.get(front::ID).and_then(|id| id.to_str().ok()).unwrap_or_default();
+            tracing::debug!(event = "dispatch", id = inv, dispatch = id.0, %to, wait = timeout.0, "inv");
         }
-        Effect::GiveUp(id) => tracing::debug!(event = "given_up", dispatch = id.0, "inv"),
+        Effect::AbortDispatch(id) => tracing::debug!(event = "given_up", dispatch = id.0, "inv"),
         Effect::Answer(ticket, answer) => {
             let answer = match answer {
                 FinalAnswer::Succeeded(_) => "succeeded",
                 FinalAnswer::Throttled { .. } => "throttled",
                 FinalAnswer::Terminated => "terminated",
-                FinalAnswer::IdTaken => "id_taken",
+                FinalAnswer::RequestIdInUse => "id_taken",
                 FinalAnswer::Unverified { .. } => "unverified",
             };
             tracing::debug!(event = "answer", ticket = ticket.0, answer, "inv");
--- a/crates/stagepond-sidecar/src/verifying.rs
+++ b/crates/stagepond-sidecar/src/verifying.rs
@@ -10,14 +10,14 @@
 use stagepond_tuf::planted::Planted;
 use stagepond_tuf::target::{Checking, Wrong};
 
-use crate::messages::BODY_MAX;
+use crate::messages::MAX_BODY_BYTES;
 
 /// Targets that are known from searches; the oldest makes room, and is searched for again.
 const KNOWN_MAX: usize = 1024;
 /// Searches that wait for their turn.
 const WANTED_MAX: usize = 64;
 /// A metadata file comes over the same connections as any answer, and is no longer than one.
-const FILE_MAX: u64 = BODY_MAX as u64;
+const FILE_MAX: u64 = MAX_BODY_BYTES as u64;
 /// A first refresh that failed is tried again after this, then after twice as long each time.
 const AGAIN_FIRST: Tenths = Tenths::ms(500);
 const AGAIN_MOST: Tenths = Tenths::ms(60_000);
--- a/crates/stagepond-sidecar/src/verifying_stories.rs
+++ b/crates/stagepond-sidecar/src/verifying_stories.rs
@@ -14,7 +14,7 @@
 use stagepond_tuf::target::describe;
 
 use crate::messages::*;
-use crate::stories::{facts, row, Story, BEGIN};
+use crate::reducer_tests::{pod_entry, test_facts, ReducerHarness, START_TIME};
 use crate::verifying::{Asked, Ended, Verifying};
 
 const PACK: &str = "round-7.tgz";
@@ -35,7 +35,7 @@
         let terms =
             Terms { root: 900 * HOUR, targets: 900 * HOUR, snapshot: 48 * HOUR, timestamp: 24 * HOUR };
         let mut repository = Repository::new(&roles, terms).unwrap();
-        let root = repository.publish_root(&[&secret], now(BEGIN)).unwrap();
+        let root = repository.publish_root(&[&secret], now(START_TIME)).unwrap();
         Repo { files: [(root.path, root.bytes)].into(), secret, repository }
     }
 
@@ -51,7 +51,7 @@
 }
 
 struct Evening {
-    story: Story,
+    story: ReducerHarness,
     repo: Repo,
     /// What each pod gives for the pack.
     packs: Vec<Vec<u8>>,
@@ -59,7 +59,7 @@
     away: bool,
     fetched: usize,
     kept: Option<Kept>,
-    answers: Vec<(Ticket, FinalAnswer)>,
+    answers: Vec<(InvocationNumber, FinalAnswer)>,
     next: u64,
 }
 
@@ -70,9 +70,9 @@
         let refresh_every = Tenths::ms(60_000);
         let asked =
             Asked { op, targets, metadata, root, kept, refresh_every, ended, floors: Floors::default() };
-        let rows = (1..=packs.len() as u16).map(|n| row(n, 1)).collect();
-        let verifying = Verifying::new(BEGIN, asked, 1).unwrap();
-        let story = Story::with(facts(), rows, None, Some(verifying));
+        let rows = (1..=packs.len() as u16).map(|n| pod_entry(n, 1)).collect();
+        let verifying = Verifying::new(START_TIME, asked, 1).unwrap();
+        let story = ReducerHarness::with_parts(test_facts(), rows, None, Some(verifying));
         let packs = packs.iter().map(|pack| pack.as_bytes().to_vec()).collect();
         let mut evening =
             Evening { story, repo, packs, away: false, fetched: 0, kept: None, answers: Vec::new(), next: 0 };
@@ -82,7 +82,7 @@
 
     fn usual(packs: &[&str]) -> Evening {
         let mut repo = Repo::new();
-        repo.publish(b"the good pack", BEGIN);
+        repo.publish(b"the good pack", START_TIME);
         Evening::begins(packs, Ended::Refuse, None, repo)
     }
 
@@ -93,12 +93,12 @@
             let mut next = Vec::new();
             for effect in left {
                 match effect {
-                    Effect::Dispatch { id, call, to, .. } => {
-                        let outcome = self.pod(&call, to.port() - 1000);
-                        next.extend(self.story.input(Input::Ended(id, outcome)));
+                    Effect::Dispatch { id, request, to, .. } => {
+                        let outcome = self.pod(&request, to.port() - 1000);
+                        next.extend(self.story.apply(Input::DispatchEnded(id, outcome)));
                     }
                     Effect::Answer(ticket, answer) => self.answers.push((ticket, answer)),
-                    Effect::KeepTrusted(kept) => self.kept = Some(kept),
+                    Effect::PersistTrustedMetadata(kept) => self.kept = Some(kept),
                     _ => {}
                 }
             }
@@ -106,7 +106,7 @@
         }
     }
 
-    fn pod(&mut self, call: &Call, pod: u16) -> Outcome {
+    fn pod(&mut self, call: &ForwardedRequest, pod: u16) -> DispatchOutcome {
         let at = self.story.now;
         let name = call.target.path().strip_prefix(METADATA);
         let body = match name {
@@ -119,8 +119,9 @@
         let lost = name.is_some() && self.away;
         let ending = if body.is_some() && !lost { Ending::Succeeded } else { Ending::Error };
         let absent = body.is_none() && !lost;
-        let reply = Reply { body: body.unwrap_or_default().into(), ..Reply::default() };
-        Outcome { ending, at, in_flight: None, reply, absent }
+        let reply =
+            ForwardedResponse { body: body.unwrap_or_default().into(), ..ForwardedResponse::default() };
+        DispatchOutcome { ending, ended_at: at, in_flight: None, response: reply, not_found: absent }
     }
 
     fn pass(&mut self, time: Tenths) {
@@ -128,19 +129,29 @@
         while self.story.now < until {
             let due = self.story.reducer.next_due().max(self.story.now + Tenths(1));
             self.story.now = due.min(until);
-            let effects = self.story.input(Input::Tick);
+            let effects = self.story.apply(Input::Tick);
             self.carry(effects);
         }
     }
 
     fn asks(&mut self) -> FinalAnswer {
         self.next += 1;
-        let (ticket, id) = (Ticket(self.next), ClientId(format!("{}", self.next).into()));
+        let (ticket, id) = (InvocationNumber(self.next), RequestId(format!("{}", self.next).into()));
         let target = format!("/round-pack/{PACK}").parse().unwrap();
-        let call =
-            Call { method: Method::GET, target, headers: Default::default(), body: Default::default() };
+        let call = ForwardedRequest {
+            method: Method::GET,
+            target,
+            headers: Default::default(),
+            body: Default::default(),
+        };
         let until = self.story.now + Tenths::ms(2000);
-        let effects = self.story.input(Input::Arrived { ticket, id, call: Arc::new(call), op: Op(0), until });
+        let effects = self.story.apply(Input::InvocationReceived {
+            number: ticket,
+            request_id: id,
+            request: Arc::new(call),
+            op: Op(0),
+            deadline: until,
+        });
         self.carry(effects);
         self.pass(Tenths::ms(2100));
         let mut answers = self.answers.iter().filter(|(t, _)| *t == ticket);
@@ -156,7 +167,7 @@
 
 fn refused(answer: &FinalAnswer) -> Option<&'static str> {
     match answer {
-        FinalAnswer::Unverified { failed, .. } => Some(failed),
+        FinalAnswer::Unverified { failed_check, .. } => Some(failed_check),
         _ => None,
     }
 }
@@ -198,7 +209,7 @@
 #[case::but_not_for_ever(Ended::GoOn(Tenths::ms(2 * HOUR * 1000)), 3 * HOUR, false)]
 fn metadata_end_amid_the_evening(#[case] ended: Ended, #[case] later: i64, #[case] passes: bool) {
     let mut repo = Repo::new();
-    repo.publish(b"the good pack", BEGIN - Tenths::ms(23 * HOUR * 1000 + 1_800_000));
+    repo.publish(b"the good pack", START_TIME - Tenths::ms(23 * HOUR * 1000 + 1_800_000));
     let mut evening = Evening::begins(&["the good pack"], ended, None, repo);
     assert!(good(&evening.asks()), "half an hour is left");
     evening.away = true;
@@ -234,9 +245,9 @@
 #[case::restarted(true)]
 fn a_rollback_is_not_taken(#[case] restarted: bool) {
     let mut repo = Repo::new();
-    repo.publish(b"the old pack!", BEGIN);
+    repo.publish(b"the old pack!", START_TIME);
     let old = repo.files.clone();
-    repo.publish(b"the good pack", BEGIN);
+    repo.publish(b"the good pack", START_TIME);
     let mut evening = Evening::begins(&["the good pack"], Ended::Refuse, None, repo);
     assert!(good(&evening.asks()));
     let kept = evening.kept.clone();
@@ -255,7 +266,7 @@
 #[rstest]
 fn nothing_passes_before_there_is_metadata() {
     let mut repo = Repo::new();
-    repo.publish(b"the good pack", BEGIN);
+    repo.publish(b"the good pack", START_TIME);
     let mut evening = Evening::begins(
         &["the good pack"],
         Ended::Refuse,
