--- a/crates/stagepond-sidecar/src/keeping.rs
+++ b/crates/stagepond-sidecar/src/keeping.rs
@@ -112,7 +112,7 @@
         let written = tokio::task::spawn_blocking(move || write(&to, &promises)).await;
         match written {
             Ok(Ok(())) => {
-                if inputs.send(Input::PromisesPersisted(number)).await.is_err() {
+                if inputs.send(Input::RaftStatePersisted(number)).await.is_err() {
                     return;
                 }
             }
--- a/crates/stagepond-sidecar/src/leading.rs
+++ b/crates/stagepond-sidecar/src/leading.rs
@@ -278,7 +278,7 @@
                         .push(Effect::SendDatagram { to: Some(Peer(usize::from(to.0))), payload: bytes });
                 }
                 Out::Keep { number, promises } => {
-                    came.effects.push(Effect::PersistPromises { number, promises })
+                    came.effects.push(Effect::PersistRaftState { number, state: promises })
                 }
                 Out::Leads(mandate) => {
                     asks = true;
@@ -349,7 +349,7 @@
             Voice::Back => Some(Verdict::Back),
             Voice::Withdrawn => None,
         };
-        Some(Effect::CastVote { build: Build(build), stage, verdict, mandate: Some(mandate) })
+        Some(Effect::CastVote { build: Build(build), stage, verdict, lease: Some(mandate) })
     }
 
     /// Whether a decree changes what share of a trial may be used.
--- a/crates/stagepond-sidecar/src/leading_stories.rs
+++ b/crates/stagepond-sidecar/src/leading_stories.rs
@@ -52,7 +52,7 @@
                 {
                     self.input(to, Input::PeerDatagram { from: Peer(of), payload });
                 }
-                Effect::CastVote { verdict: Some(verdict), mandate, .. } => {
+                Effect::CastVote { verdict: Some(verdict), lease: mandate, .. } => {
                     let mandate = mandate.expect("where one leads nobody votes without leave");
                     assert!(mandate.check(self.now).is_ok());
                     self.votes.push((of, mandate.until(), verdict));
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -189,8 +189,8 @@
     ReloadRequested,
     /// The configuration file as it is now, or what is wrong with it.
     ConfigRead(Result<ReloadableConfig, String>),
-    /// The promises with this number are on disk.
-    PromisesPersisted(u64),
+    /// The Raft state with this number, and so every earlier one, is on disk.
+    RaftStatePersisted(u64),
     /// SIGTERM or SIGINT.
     ShutdownRequested,
     ListenerClosed,
@@ -222,14 +222,15 @@
         build: Build,
         stage: u32,
         verdict: Option<Verdict>,
-        /// Set if leadership is on: the permission to cast the vote, checked against the clock immediately
-        /// before the request is written.
-        mandate: Option<Mandate>,
+        /// Set if leadership is on: the leader's lease, checked against the clock immediately before the request
+        /// is written.
+        lease: Option<Mandate>,
     },
-    /// Write these promises to disk in full and flush them, then report [`Input::PromisesPersisted`].
-    PersistPromises {
+    /// Write this Raft state to disk in full and flush it, then report [`Input::RaftStatePersisted`] with its
+    /// number.
+    PersistRaftState {
         number: u64,
-        promises: Vec<u8>,
+        state: Vec<u8>,
     },
     /// Log an event of leadership.
     LogLeadershipEvent(crate::leading::Note),
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -217,7 +217,7 @@
         if self.leadership_enabled {
             return self.unproposed_votes.push_back((build, stage, verdict));
         }
-        self.effects.push(Effect::CastVote { build, stage, verdict, mandate: None });
+        self.effects.push(Effect::CastVote { build, stage, verdict, lease: None });
     }
 
     /// Gives an invocation its final answer, unless it has one.
@@ -359,7 +359,7 @@
                 self.step_leadership(|leadership, now| leadership.datagram(now, &payload));
             }
             Input::PeerDatagram { from, payload } => self.balancer.peer(&mut self.host, from, &payload),
-            Input::PromisesPersisted(number) => {
+            Input::RaftStatePersisted(number) => {
                 self.step_leadership(|leadership, now| leadership.kept(now, number));
             }
             Input::Tick => self.on_tick(),
@@ -630,7 +630,7 @@
 
     fn on_tick(&mut self) {
         let now = self.host.now;
-        // Leadership comes first: an expired mandate must not permit anything that follows.
+        // Leadership comes first: an expired lease must not permit anything that follows.
         self.step_leadership(|leadership, now| leadership.tick(now));
         if self.config_retry.take_due(now) {
             self.host.effects.push(Effect::ReadConfig);
--- a/crates/stagepond-sidecar/src/shell.rs
+++ b/crates/stagepond-sidecar/src/shell.rs
@@ -123,11 +123,11 @@
                         peers.tell(to, &payload);
                     }
                 }
-                Effect::CastVote { build, stage, verdict, mandate } => {
+                Effect::CastVote { build, stage, verdict, lease } => {
                     let until = tokio::time::Instant::now() + vote_wait;
-                    let _ = votes.send(Vote { build, stage, verdict, until, mandate });
+                    let _ = votes.send(Vote { build, stage, verdict, until, mandate: lease });
                 }
-                Effect::PersistPromises { number, promises } => drop(keep.send((number, promises))),
+                Effect::PersistRaftState { number, state } => drop(keep.send((number, state))),
                 Effect::PersistTrustedMetadata(kept) => drop(trust.send(kept)),
                 Effect::LogVerificationEvent(told) => verified(told),
                 Effect::LogLeadershipEvent(note) => noted(note, clock.now()),
