--- a/crates/stagepond-sidecar/src/lifecycle.rs
+++ b/crates/stagepond-sidecar/src/lifecycle.rs
@@ -1,24 +1,24 @@
 //! Lifecycle of the program from start to exit.
 //!
-//! [`Lifecycle`] knows which state may follow which, and when. It touches no socket: the reducer drives it, and the
-//! event loop does what a new state requires.
+//! [`Lifecycle`] knows which state may follow which, and when. It touches no socket: the reducer drives it,
+//! and the event loop does what a new state requires.
 
 use stagepond::host::Tenths;
 
-/// How long the listener stays open after the shutdown signal. Clients keep connecting for up to 0.4 s after it;
-/// the rest is a margin for a busy machine.
+/// How long the listener stays open after the shutdown signal. Clients keep connecting for up to 0.4 s after
+/// it; the rest is a margin for a busy machine.
 pub const LISTEN_AFTER_SHUTDOWN: Tenths = Tenths::ms(600);
 /// How long answers that are written but not yet read by their clients may delay the exit.
 pub const ANSWER_FLUSH_TIMEOUT: Tenths = Tenths::ms(500);
-/// How long to wait for a pod list from discovery before the list in the configuration is used. The agent is on the
-/// same machine and answers within this time.
+/// How long to wait for a pod list from discovery before the list in the configuration is used. The agent is
+/// on the same machine and answers within this time.
 pub const FRESH_LIST_TIMEOUT: Tenths = Tenths::ms(500);
 
 /// Delay before a configuration file that could not be read is read again. A file that is being replaced is
 /// complete within moments.
 const CONFIG_RETRY_DELAY: Tenths = Tenths::ms(200);
-/// Reads after one reload signal. A file that is still invalid after that is not being replaced but wrong, and only
-/// another signal can mean that it has changed.
+/// Reads after one reload signal. A file that is still invalid after that is not being replaced but wrong,
+/// and only another signal can mean that it has changed.
 const MAX_CONFIG_READS: u32 = 25;
 
 /// Retries of reading the configuration after a reload signal.
@@ -122,8 +122,8 @@
         (self.state == State::Leaving).then(|| self.enter(State::Draining, now)).flatten()
     }
 
-    /// Stops once no invocation is unanswered and either no client is connected or [`ANSWER_FLUSH_TIMEOUT`] has
-    /// passed.
+    /// Stops once no invocation is unanswered and either no client is connected or [`ANSWER_FLUSH_TIMEOUT`]
+    /// has passed.
     pub fn try_stop(&mut self, now: Tenths, unanswered: usize, clients_connected: bool) -> Option<State> {
         if unanswered > 0 {
             self.last_busy_at = now;
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -222,8 +222,8 @@
         build: Build,
         stage: u32,
         verdict: Option<Verdict>,
-        /// Set if leadership is on: the leader's lease, checked against the clock immediately before the request
-        /// is written.
+        /// Set if leadership is on: the leader's lease, checked against the clock immediately before the
+        /// request is written.
         lease: Option<Mandate>,
     },
     /// Write this Raft state to disk in full and flush it, then report [`Input::RaftStatePersisted`] with its
@@ -252,8 +252,8 @@
     EnterState(crate::lifecycle::State),
 }
 
-/// Unix time in tenths of a millisecond, read from the system once and advanced by the monotonic clock, so that
-/// a step of the wall clock does not move time limits.
+/// Unix time in tenths of a millisecond, read from the system once and advanced by the monotonic clock, so
+/// that a step of the wall clock does not move time limits.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     unix_at_start: Tenths,
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -1,8 +1,8 @@
 //! Sends dispatches to pods with hyper-util's HTTP client.
 //!
-//! Each connection has a client of its own and carries one dispatch at a time, so that no second connection is
-//! opened while one has just become free. This module owns the connections to pods and reports how each dispatch
-//! ended. It never retries a dispatch or times one out; the reducer asks for both.
+//! Each connection has a client of its own and carries one dispatch at a time, so that no second connection
+//! is opened while one has just become free. This module owns the connections to pods and reports how each
+//! dispatch ended. It never retries a dispatch or times one out; the reducer asks for both.
 
 use std::collections::HashMap;
 use std::io;
@@ -29,11 +29,11 @@
 use crate::stream::Complaints;
 use crate::wire::{Trace, Wire, HEAD_MAX};
 
-/// How long a connection stays out of use after a response if another one is free. Excess bytes after a response
-/// arrive immediately after it and make the connection unusable.
+/// How long a connection stays out of use after a response if another one is free. Excess bytes after a
+/// response arrive immediately after it and make the connection unusable.
 const SETTLE_TIME: Duration = Duration::from_millis(2);
-/// From this share of broken reused connections on, opening a new one costs the pod less than the dispatches that
-/// break.
+/// From this share of broken reused connections on, opening a new one costs the pod less than the dispatches
+/// that break.
 const MAX_BROKEN_SHARE: f64 = 0.04;
 /// Number of dispatches on reused connections over which that share is averaged.
 const BROKEN_SHARE_DISPATCHES: f64 = 64.0;
@@ -41,12 +41,12 @@
 const REUSE_PROBE_INTERVAL: u32 = 12;
 /// A greater number of invocations in a load report is more than any machine can have: the report is garbled.
 const MAX_REPORTED_IN_FLIGHT: f64 = 10_000.0;
-/// Share of the configured idle time after which a connection is closed. A pod may close one that was idle for the
-/// whole time, and a request written at that moment would be reset.
+/// Share of the configured idle time after which a connection is closed. A pod may close one that was idle
+/// for the whole time, and a request written at that moment would be reset.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 const LOAD_HEADER: &str = "x-server-load";
-/// Keys of the number of invocations in progress in a load report: that of the settings and that of the protocol's
-/// documentation.
+/// Keys of the number of invocations in progress in a load report: that of the settings and that of the
+/// protocol's documentation.
 const IN_FLIGHT_KEYS: [&str; 2] = ["rif", "inflight"];
 const NOT_PROCESSED_HEADER: &str = "x-not-processed";
 const TIME_LIMIT_HEADER: &str = "x-timeout-ms";
@@ -96,8 +96,8 @@
     task: AbortHandle,
 }
 
-/// How often reused connections turn out to be broken when the next request is written. If that is often, most
-/// dispatches use new connections.
+/// How often reused connections turn out to be broken when the next request is written. If that is often,
+/// most dispatches use new connections.
 #[derive(Default)]
 struct ReuseStats {
     /// Moving average of the share of broken ones.
@@ -197,9 +197,9 @@
 
     /// Returns a connection for a dispatch to `to`, or `None` if no descriptor is left.
     ///
-    /// Prefers the most recently used idle connection, so that those that are not needed reach their idle timeout.
-    /// One that became idle within [`SETTLE_TIME`] is taken only if there is no other, as more bytes may follow its
-    /// response.
+    /// Prefers the most recently used idle connection, so that those that are not needed reach their idle
+    /// timeout. One that became idle within [`SETTLE_TIME`] is taken only if there is no other, as more bytes
+    /// may follow its response.
     fn take_connection(&mut self, to: SocketAddr) -> Option<PodConnection> {
         let mut idle = self.idle.lock().expect("never held while panicking");
         let allow_reuse = self.reuse_stats.lock().expect("never held while panicking").allow_reuse();
@@ -260,8 +260,8 @@
     }
 }
 
-/// Sends a request and waits for the response. Returns the outcome, and whether the connection carried exactly one
-/// complete response and may be used again.
+/// Sends a request and waits for the response. Returns the outcome, and whether the connection carried
+/// exactly one complete response and may be used again.
 async fn send_request(
     connection: &PodConnection, request: &ForwardedRequest, to: SocketAddr, timeout: Tenths, clock: Clock,
     complaints: &Complaints,
@@ -293,7 +293,8 @@
             }
         }
     }
-    // A response ended when its last bytes arrived. The end of a connection has no bytes to take the time from.
+    // A response ended when its last bytes arrived. The end of a connection has no bytes to take the time
+    // from.
     let responded = matches!(ending, Ending::Succeeded | Ending::Error | Ending::Full);
     let ended_at = if responded { connection.trace.came_at() } else { clock.now() };
     (DispatchOutcome { ending, ended_at, in_flight, response, not_found }, reusable)
@@ -322,7 +323,8 @@
     message
 }
 
-/// Reads the number of invocations in progress from a load report. The module has no use for the other figures.
+/// Reads the number of invocations in progress from a load report. The module has no use for the other
+/// figures.
 fn reported_in_flight(report: &str) -> Option<f64> {
     let pairs = report.split(',').filter_map(|pair| pair.split_once('='));
     let mut in_flight = pairs.filter(|(key, _)| IN_FLIGHT_KEYS.contains(&key.trim()));
@@ -357,8 +359,8 @@
         assert_eq!(count_reuses(&mut stats, false), 240);
     }
 
-    /// The settings name the figure `rif`, the protocol's example `inflight`. Code that looked for only one of them
-    /// read no report at all.
+    /// The settings name the figure `rif`, the protocol's example `inflight`. Code that looked for only one
+    /// of them read no report at all.
     #[rstest]
     #[case::key_of_the_settings("rif=1.044,busy=0.020", Some(1.044))]
     #[case::key_of_the_documentation("inflight=7,queue=2,util=0.61", Some(7.0))]
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -1,13 +1,13 @@
 //! The reducer: the only place where state changes. Inputs go in, effects come out.
 //!
 //! It owns the decision module ([`Balancer`]), the invocations, the dispatches and all timers, and is the
-//! module's [`Host`]. It reads no clock, touches no socket and leaves every decision that the module can make to
-//! the module: equal inputs give equal effects.
+//! module's [`Host`]. It reads no clock, touches no socket and leaves every decision that the module can make
+//! to the module: equal inputs give equal effects.
 //!
 //! Towards the module it behaves as the simulator's line protocol does:
 //!
-//! - Dispatches of an invocation are numbered in order. Each ends exactly once, at the client's time limit at the
-//!   latest, and its outcome is reported even if the invocation already has its final answer.
+//! - Dispatches of an invocation are numbered in order. Each ends exactly once, at the client's time limit at
+//!   the latest, and its outcome is reported even if the invocation already has its final answer.
 //! - The first success is the final answer.
 //! - A dispatch that cannot be sent ends as [`Ending::Moot`].
 
@@ -64,8 +64,8 @@
     gone_since: Option<Tenths>,
 }
 
-/// How long a pod that discovery no longer lists stays known. It may come back unchanged, and a dispute about it
-/// may arrive late; this is longer than either takes.
+/// How long a pod that discovery no longer lists stays known. It may come back unchanged, and a dispute about
+/// it may arrive late; this is longer than either takes.
 const GONE_POD_RETENTION: Tenths = Tenths::ms(60_000);
 
 /// All state except the module, in a struct of its own so that the module can call back into it.
@@ -84,8 +84,8 @@
     dispatch_deadlines: BTreeSet<(Tenths, DispatchId)>,
     /// Timers that the module set, with its token.
     timers: BTreeSet<(Tenths, u64)>,
-    /// Dispatches that ended during a call of the module. The module is not reentrant, so they are reported after
-    /// the call has returned.
+    /// Dispatches that ended during a call of the module. The module is not reentrant, so they are reported
+    /// after the call has returned.
     unreported_endings: VecDeque<(InvId, usize, Ending)>,
     pods: HashMap<PodName, KnownPod>,
     addresses: HashMap<PodId, SocketAddr>,
@@ -98,8 +98,8 @@
 
 /// Numbers from here on belong to the reducer's own invocations; clients' numbers never get this high.
 const FIRST_INTERNAL_INVOCATION: InvocationNumber = InvocationNumber(1 << 62);
-/// Metadata files requested while one input is applied. More than one only if a fetch is answered at once, without
-/// waiting for a dispatch.
+/// Metadata files requested while one input is applied. More than one only if a fetch is answered at once,
+/// without waiting for a dispatch.
 const MAX_FETCHES_PER_INPUT: usize = 4;
 
 /// Parts of the reducer that the operators' file enables.
@@ -212,7 +212,8 @@
 }
 
 impl ReducerHost {
-    /// Casts a vote, or withdraws it if `verdict` is `None`. With leadership on it is proposed to the group first.
+    /// Casts a vote, or withdraws it if `verdict` is `None`. With leadership on it is proposed to the group
+    /// first.
     fn request_vote(&mut self, build: Build, stage: u32, verdict: Option<Verdict>) {
         if self.leadership_enabled {
             return self.unproposed_votes.push_back((build, stage, verdict));
@@ -331,8 +332,8 @@
         self.host.next_due().min(own).min(leadership).min(verification)
     }
 
-    /// Applies one input at the time `now` and returns the effects. Time never runs backwards: an earlier `now`
-    /// counts as that of the previous input.
+    /// Applies one input at the time `now` and returns the effects. Time never runs backwards: an earlier
+    /// `now` counts as that of the previous input.
     pub fn apply(&mut self, now: Tenths, input: Input) -> Vec<Effect> {
         self.host.now = self.host.now.max(now);
         match input {
@@ -388,8 +389,8 @@
         std::mem::take(&mut self.host.effects)
     }
 
-    /// Starts due metadata fetches and checks the responses that waited for metadata. A fetch is an invocation of
-    /// the reducer's own, subject to the same module and limits as a client's.
+    /// Starts due metadata fetches and checks the responses that waited for metadata. A fetch is an
+    /// invocation of the reducer's own, subject to the same module and limits as a client's.
     fn run_verification(&mut self) {
         for _ in 0..MAX_FETCHES_PER_INPUT {
             let now = self.host.now;
@@ -485,8 +486,8 @@
         self.push_state(state);
     }
 
-    /// Reports queued endings to the module and queued votes to leadership until both queues are empty; either
-    /// may add to them.
+    /// Reports queued endings to the module and queued votes to leadership until both queues are empty;
+    /// either may add to them.
     fn drain_queues(&mut self) {
         loop {
             if let Some((inv, nth, ending)) = self.host.unreported_endings.pop_front() {
@@ -549,8 +550,8 @@
         self.host.remove_if_finished(inv);
     }
 
-    /// Checks the response of a verified operation. One that does not match the signed metadata becomes an error
-    /// of an invocation that may have run. Returns `None` while the check waits for metadata.
+    /// Checks the response of a verified operation. One that does not match the signed metadata becomes an
+    /// error of an invocation that may have run. Returns `None` while the check waits for metadata.
     fn verify_outcome(&mut self, id: DispatchId, mut outcome: DispatchOutcome) -> Option<DispatchOutcome> {
         let Some(verification) = &mut self.verification else { return Some(outcome) };
         let inv = self.host.dispatches.get(&id).map(|dispatch| &dispatch.inv);
@@ -600,8 +601,8 @@
         self.report_outcome(&inv, nth, took, ending, in_flight);
     }
 
-    /// Applies a configuration that was read again. What has been learnt and what is in progress is kept; only the
-    /// addresses of discovery and the platform and the leadership settings change.
+    /// Applies a configuration that was read again. What has been learnt and what is in progress is kept;
+    /// only the addresses of discovery and the platform and the leadership settings change.
     fn on_config_read(&mut self, result: Result<ReloadableConfig, String>) {
         let ReloadableConfig { addresses, leadership } = match result {
             Ok(config) => config,
@@ -640,7 +641,8 @@
             let Some(OpenDispatch { inv, nth, started_at, .. }) = self.host.remove_dispatch(id) else {
                 break;
             };
-            // The connection is closed before the module learns of the time-out, and so before it dispatches again.
+            // The connection is closed before the module learns of the time-out, and so before it dispatches
+            // again.
             self.host.effects.push(Effect::AbortDispatch(id));
             self.report_outcome(&inv, nth, deadline - started_at, Ending::TimedOut, None);
         }
@@ -702,8 +704,8 @@
         });
     }
 
-    /// Handles a status of the platform: a message of its stream, or with `answers_vote` its answer to a vote.
-    /// Leadership, if it is on, may reduce the share that the module is told.
+    /// Handles a status of the platform: a message of its stream, or with `answers_vote` its answer to a
+    /// vote. Leadership, if it is on, may reduce the share that the module is told.
     fn on_rollout_status(&mut self, result: Result<RolloutStatus, Ending>, answers_vote: bool) {
         let result = match (result, &mut self.leadership) {
             (Ok(status), Some(leadership)) => {
--- a/crates/stagepond-sidecar/src/reducer_tests.rs
+++ b/crates/stagepond-sidecar/src/reducer_tests.rs
@@ -426,7 +426,8 @@
     assert_eq!(run(), run());
 }
 
-/// The file may be read while it is being written; the old configuration stays in force until a read succeeds.
+/// The file may be read while it is being written; the old configuration stays in force until a read
+/// succeeds.
 #[rstest]
 #[case::complete_at_once(0)]
 #[case::incomplete_at_first(3)]
