--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -12,7 +12,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::{HeaderMap, Method};
 use stagepond::host::*;
-use stagepond_leadership::mandate::Mandate;
+use stagepond_leadership::lease::LeaderLease;
 
 /// Longest body of an invocation or of a pod's response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
@@ -82,7 +82,7 @@
     pub name: PodName,
     pub address: SocketAddr,
     pub zone: Zone,
-    pub machine_kind: Kind,
+    pub machine_kind: MachineKind,
     pub cell: Cell,
     pub availability: Availability,
     /// Capacity relative to other pods.
@@ -224,7 +224,7 @@
         verdict: Option<Verdict>,
         /// Set if leadership is on: the leader's lease, checked against the clock immediately before the
         /// request is written.
-        lease: Option<Mandate>,
+        lease: Option<LeaderLease>,
     },
     /// Write this Raft state to disk in full and flush it, then report [`Input::RaftStatePersisted`] with its
     /// number.
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -233,7 +233,7 @@
             .retry_canceled_requests(false)
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(to_std_duration(self.transport.idle_close.part(IDLE_TIMEOUT_SHARE)))
+            .pool_idle_timeout(to_std_duration(self.transport.idle_close.scale(IDLE_TIMEOUT_SHARE)))
             .http1_max_buf_size(HEAD_MAX)
             .build(connector);
         PodConnection { client, trace, idle_since: Instant::now(), _counted: self.connection_count.clone() }
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    fn wake_in(&mut self, delay: Tenths, token: u64) {
+    fn set_timer(&mut self, delay: Tenths, token: u64) {
         self.timers.insert((self.now + delay, token));
     }
 
@@ -183,11 +183,11 @@
         self.log("probes are not supported");
     }
 
-    fn drop_idle(&mut self, pod: PodId) {
+    fn close_idle_connections(&mut self, pod: PodId) {
         self.effects.extend(self.addresses.get(&pod).copied().map(Effect::CloseIdleConnections));
     }
 
-    fn tell(&mut self, to: Option<Peer>, payload: &[u8]) {
+    fn send_to_peer(&mut self, to: Option<Peer>, payload: &[u8]) {
         self.effects.push(Effect::SendDatagram { to, payload: payload.to_vec() });
     }
 
@@ -202,7 +202,7 @@
     /// Does nothing: the sidecar always follows discovery and the platform.
     fn subscribe(&mut self, _wanted: bool) {}
 
-    fn reload(&mut self) {
+    fn reload_pod_list(&mut self) {
         self.effects.push(Effect::RequestPodSnapshot);
     }
 
@@ -279,8 +279,8 @@
         let OptionalParts { leadership, verification } = parts;
         let host = ReducerHost {
             now,
-            max_dispatches: facts.dispatches_max,
-            parallel_dispatches: facts.second_copies,
+            max_dispatches: facts.max_dispatches,
+            parallel_dispatches: facts.parallel_dispatches,
             invocations: HashMap::new(),
             request_ids: HashSet::new(),
             unanswered: 0,
@@ -309,10 +309,10 @@
             clients_connected: false,
         };
         reducer.host.effects.push(Effect::EnterState(State::Starting));
-        reducer.balancer.started(&mut reducer.host);
+        reducer.balancer.start(&mut reducer.host);
         if reducer.leadership.is_some() {
             // Without a leader nobody may vote.
-            reducer.balancer.leadership(&mut reducer.host, Vec::new(), false);
+            reducer.balancer.on_leadership(&mut reducer.host, Vec::new(), false);
         }
         reducer.on_pod_list(known_pods);
         if let Some(status) = status {
@@ -346,12 +346,12 @@
                 self.on_pod_list(list);
                 self.update_readiness(true);
             }
-            Input::DiscoveryDisconnected => self.balancer.list_broke(&mut self.host),
+            Input::DiscoveryDisconnected => self.balancer.on_pod_list_failure(&mut self.host),
             Input::RolloutStatusReceived(status) => self.on_rollout_status(Ok(status), false),
             Input::VoteAnswered(answer) => self.on_rollout_status(answer, true),
             Input::AnswerDisputed { pod, op, age } => {
                 if let Some(&KnownPod { id, .. }) = self.host.pods.get(&pod) {
-                    self.balancer.objection(&mut self.host, id, op, age);
+                    self.balancer.on_objection(&mut self.host, id, op, age);
                 }
             }
             Input::PeerDatagram { from: _, payload }
@@ -359,7 +359,9 @@
             {
                 self.step_leadership(|leadership, now| leadership.datagram(now, &payload));
             }
-            Input::PeerDatagram { from, payload } => self.balancer.peer(&mut self.host, from, &payload),
+            Input::PeerDatagram { from, payload } => {
+                self.balancer.on_peer_message(&mut self.host, from, &payload)
+            }
             Input::RaftStatePersisted(number) => {
                 self.step_leadership(|leadership, now| leadership.kept(now, number));
             }
@@ -464,7 +466,7 @@
         self.host.effects.extend(effects);
         let status = if again { leadership.said(now) } else { None };
         if let Some((voters, leads)) = lead {
-            self.balancer.leadership(&mut self.host, voters, leads);
+            self.balancer.on_leadership(&mut self.host, voters, leads);
         }
         if let Some(status) = status {
             self.report_rollout_status(Ok(status), false);
@@ -506,7 +508,7 @@
         &mut self, inv: &InvId, nth: usize, took: Tenths, ending: Ending, in_flight: Option<f64>,
     ) {
         let answered = self.host.invocations.get(inv).is_none_or(|invocation| invocation.answered);
-        self.balancer.outcome(&mut self.host, inv, answered, nth, took, ending, in_flight);
+        self.balancer.on_outcome(&mut self.host, inv, answered, nth, took, ending, in_flight);
         self.host.remove_if_finished(inv);
     }
 
@@ -538,7 +540,7 @@
         };
         self.host.invocations.insert(inv.clone(), invocation);
         self.host.unanswered += 1;
-        self.balancer.invocation(&mut self.host, inv, None, op, deadline);
+        self.balancer.on_invocation(&mut self.host, inv, None, op, deadline);
     }
 
     fn on_client_disconnected(&mut self, inv: &InvId) {
@@ -546,7 +548,7 @@
         let Some(invocation) = pending else { return };
         invocation.answered = true;
         self.host.unanswered -= 1;
-        self.balancer.aborted(&mut self.host, inv);
+        self.balancer.on_abort(&mut self.host, inv);
         self.host.remove_if_finished(inv);
     }
 
@@ -649,7 +651,7 @@
         // Only timers that are due now: each may set another one.
         let later = self.host.timers.split_off(&(now + Tenths(1), 0));
         for (_, token) in std::mem::replace(&mut self.host.timers, later) {
-            self.balancer.wake(&mut self.host, token);
+            self.balancer.on_timer(&mut self.host, token);
         }
         self.update_readiness(false);
         if self.lifecycle.take_listener_close(now) {
@@ -659,7 +661,7 @@
 
     fn on_pod_list(&mut self, list: PodList) {
         let now = self.host.now;
-        self.balancer.list_begins(list.is_snapshot);
+        self.balancer.begin_pod_list(list.is_snapshot);
         if list.is_snapshot {
             let listed: HashSet<_> = list.pods.iter().map(|entry| &entry.name).collect();
             for (name, pod) in &mut self.host.pods {
@@ -685,7 +687,7 @@
                 self.host.effects.push(Effect::CloseIdleConnections(old.address));
             }
             self.host.addresses.insert(pod.id, entry.address);
-            self.balancer.pod(
+            self.balancer.on_pod(
                 pod.id,
                 entry.machine_kind,
                 entry.zone,
@@ -696,7 +698,7 @@
                 entry.build,
             );
         }
-        self.balancer.list_ends(&mut self.host);
+        self.balancer.end_pod_list(&mut self.host);
         let addresses = &mut self.host.addresses;
         self.host.pods.retain(|_, pod| {
             let retained = pod.gone_since.is_none_or(|since| now < since + GONE_POD_RETENTION);
@@ -726,7 +728,7 @@
             Err(ending) => (unknown, ending),
         };
         let RolloutStatus { build, stage, phase, cap, age } = status;
-        self.balancer.stage(&mut self.host, build, stage, age, phase, answers_vote, cap, ending);
+        self.balancer.on_stage(&mut self.host, build, stage, age, phase, answers_vote, cap, ending);
     }
 
     /// Number of pods that are still remembered.
