--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -94,7 +94,7 @@
 
 fn check(arguments: &Arguments) -> Result<()> {
     let config = load_config(arguments, LoadKind::Initial)?;
-    println!("{}: {} pods known, configuration valid", config.name, config.known_pods.rows.len());
+    println!("{}: {} pods known, configuration valid", config.name, config.known_pods.pods.len());
     if let Some(leadership) = &config.operators.leadership {
         print_leadership(leadership);
     }
--- a/crates/stagepond-sidecar/src/config.rs
+++ b/crates/stagepond-sidecar/src/config.rs
@@ -11,7 +11,7 @@
 use stagepond_facts::Names;
 
 use crate::discovery;
-use crate::messages::{Changes, List, Places, Standing};
+use crate::messages::{PodList, ReloadableConfig, RolloutStatus, ServiceAddresses};
 use crate::operators::OperatorsConfig;
 
 /// Assumed where the configuration has no `limits.memory_mb`: the smallest memory limit of a deployment.
@@ -48,7 +48,7 @@
     /// Address on which clients connect.
     pub listen: SocketAddr,
     /// Addresses of discovery and of the platform.
-    pub places: Places,
+    pub addresses: ServiceAddresses,
     /// Seed of the random generators.
     pub seed: u64,
     /// Address on which datagrams from peers are received.
@@ -58,9 +58,9 @@
     /// Address that reaches all peers with one datagram.
     pub peers_all: Option<SocketAddr>,
     /// Rollout status at startup.
-    pub rollout_status: Option<Standing>,
+    pub rollout_status: Option<RolloutStatus>,
     /// Pods known at startup.
-    pub known_pods: List,
+    pub known_pods: PodList,
     /// Settings of the decision module.
     pub facts: Facts,
     /// Names of operations, zones and machine kinds.
@@ -75,8 +75,8 @@
 
 impl SidecarConfig {
     /// The part of the configuration that can change without a restart.
-    pub fn into_reloadable(self) -> Changes {
-        Changes { places: self.places, leadership: self.operators.leadership }
+    pub fn into_reloadable(self) -> ReloadableConfig {
+        ReloadableConfig { addresses: self.addresses, leadership: self.operators.leadership }
     }
 }
 
@@ -125,7 +125,7 @@
     /// # Errors
     ///
     /// Names the field whose value is unknown or out of range.
-    pub fn parse(self) -> Result<Standing> {
+    pub fn parse(self) -> Result<RolloutStatus> {
         let phase = match self.phase.as_str() {
             "Progressing" => Phase::Trial,
             "Aborting" => Phase::GoingBack,
@@ -139,8 +139,8 @@
         if !(0.0..MAX_STATUS_AGE_MS).contains(&self.age_ms) {
             bail!("age_ms: {} is not from 0 to {MAX_STATUS_AGE_MS}", self.age_ms);
         }
-        let since = Tenths::floor_ms(self.age_ms);
-        Ok(Standing { build: Build(self.build), stage: self.stage, phase, cap: self.cap, since })
+        let age = Tenths::floor_ms(self.age_ms);
+        Ok(RolloutStatus { build: Build(self.build), stage: self.stage, phase, cap: self.cap, age })
     }
 }
 
@@ -216,7 +216,7 @@
     }
     let known_pods = match file.known {
         Some(known) => discovery::decode(known, &names).context("known")?,
-        None => List { index: 0, whole: true, rows: Vec::new() },
+        None => PodList { index: 0, is_snapshot: true, pods: Vec::new() },
     };
     let discovery_address = match load_kind {
         LoadKind::Reload if file.discovery.is_some() => file.discovery.unwrap_or_default(),
@@ -230,13 +230,13 @@
     Ok(SidecarConfig {
         name: required("name", "BALANCER_NAME", file.name)?,
         listen: parse_address("listen", &required("listen", "BALANCER_LISTEN", file.listen)?)?,
-        places: Places { discovery: parse_address("discovery", &discovery_address)?, platform },
+        addresses: ServiceAddresses { discovery: parse_address("discovery", &discovery_address)?, platform },
         seed: seed.map_err(|_| anyhow!("seed: {:?} is not a 64-bit hexadecimal number", file.seed))?,
         peer_listen,
         peers,
         peers_all: parse_optional_address("peers_all", &file.peers_all)?,
         rollout_status: news.map(RawRolloutStatus::parse).transpose().context("pipeline.news")?,
-        known_pods: List { whole: true, ..known_pods },
+        known_pods: PodList { is_snapshot: true, ..known_pods },
         transport: TransportConfig {
             connect_timeout: time("/bounds/connect_timeout_ms")?,
             idle_timeout: time("/bounds/idle_close_ms")?,
--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -17,7 +17,7 @@
 use stagepond_leadership::seal::FORM;
 use stagepond_leadership::wire::Health;
 
-use crate::messages::{Effect, Standing};
+use crate::messages::{Effect, RolloutStatus};
 use crate::operators::{KeyRing, LeadershipConfig};
 
 /// A leadership event to be logged. Each variant has its own `event` value in the log, and its fields are the
@@ -49,7 +49,7 @@
     /// Whether a trial's share may grow past its first stage only by a committed command.
     widen_by_decree: bool,
     /// The last rollout status from the platform and when it arrived.
-    last_status: Option<(Standing, Tenths)>,
+    last_status: Option<(RolloutStatus, Tenths)>,
     /// Share of each build allowed by committed commands, in millionths.
     committed_shares: BTreeMap<Build, u32>,
     /// Builds whose trial is frozen, with the share (0 to 1) in use when the freeze took effect.
@@ -152,7 +152,7 @@
                     .map(|(reason, count)| format!("{reason:?}={count}"))
                     .collect();
                 let event = LeadershipEvent::DatagramsDropped { counts: counts.join(" ") };
-                outcome.effects.push(Effect::Note(event));
+                outcome.effects.push(Effect::LogLeadershipEvent(event));
             }
         }
         outcome
@@ -253,7 +253,7 @@
 
     /// Takes a rollout status from the platform and returns it with its cap limited to the share that may be
     /// used here. A status of an older build than the last one is limited but not remembered.
-    pub fn on_rollout_status(&mut self, now: Tenths, status: Standing) -> (Standing, StepOutcome) {
+    pub fn on_rollout_status(&mut self, now: Tenths, status: RolloutStatus) -> (RolloutStatus, StepOutcome) {
         let is_current = self.last_status.is_none_or(|(last, _)| status.build >= last.build);
         if is_current {
             self.last_status = Some((status, now));
@@ -263,15 +263,15 @@
     }
 
     /// The last rollout status with its age as of `now` and its cap limited to the share that may be used.
-    pub fn current_status(&mut self, now: Tenths) -> Option<Standing> {
+    pub fn current_status(&mut self, now: Tenths) -> Option<RolloutStatus> {
         let (status, received_at) = self.last_status?;
-        let since = status.since + (now - received_at);
-        Some(self.limit_share(Standing { since, ..status }))
+        let age = status.age + (now - received_at);
+        Some(self.limit_share(RolloutStatus { age, ..status }))
     }
 
     /// Limits the cap of a trial to what committed commands allow. A lower cap from the platform applies at
     /// once, and a release is the platform's decision alone; only growth waits for a command.
-    fn limit_share(&mut self, status: Standing) -> Standing {
+    fn limit_share(&mut self, status: RolloutStatus) -> RolloutStatus {
         let mut cap = status.cap;
         if status.phase == Phase::Trial {
             if self.widen_by_decree && status.stage > 0 {
@@ -286,7 +286,7 @@
             cap = self.frozen_shares.get(&status.build).map_or(cap, |frozen| cap.min(*frozen));
         }
         self.applied_share = Some((status.build, cap));
-        Standing { cap, ..status }
+        RolloutStatus { cap, ..status }
     }
 
     fn share_in_use(&self, build: Build) -> f64 {
@@ -316,18 +316,22 @@
             match effect {
                 InstanceEffect::Send { to, bytes } => {
                     let to = Some(Peer(usize::from(to.0)));
-                    outcome.effects.push(Effect::Tell { to, words: bytes });
+                    outcome.effects.push(Effect::SendDatagram { to, payload: bytes });
                 }
-                InstanceEffect::Persist { version: number, state: promises } => {
-                    outcome.effects.push(Effect::Keep { number, promises });
+                InstanceEffect::Persist { version: number, state } => {
+                    outcome.effects.push(Effect::PersistRaftState { number, state });
                 }
                 InstanceEffect::BecameLeader(lease) => {
                     propose_again = true;
                     let (term, until) = (lease.term(), lease.expires_at());
-                    outcome.effects.push(Effect::Note(LeadershipEvent::BecameLeader { term, until }));
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::BecameLeader { term, until }));
                 }
                 InstanceEffect::SteppedDown { term, reason: why } => {
-                    outcome.effects.push(Effect::Note(LeadershipEvent::SteppedDown { term, why }));
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::SteppedDown { term, why }));
                 }
                 InstanceEffect::Committed { entry, lease } => {
                     let vote = vote_effect(&entry.command, lease);
@@ -337,24 +341,31 @@
                     propose_again |= matches!(entry.command, Command::Freeze { frozen: false, .. });
                     let decree = format!("{:?}", entry.command);
                     let event = LeadershipEvent::CommandCommitted { term, number, holder, decree };
-                    outcome.effects.push(Effect::Note(event));
+                    outcome.effects.push(Effect::LogLeadershipEvent(event));
                     outcome.effects.extend(vote);
                 }
                 InstanceEffect::SnapshotInstalled { number } => {
                     outcome.share_changed = true;
-                    outcome.effects.push(Effect::Note(LeadershipEvent::SnapshotInstalled { number }));
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::SnapshotInstalled { number }));
                     self.apply_committed_shares();
                 }
                 InstanceEffect::Bootstrapped { era } => {
                     let term = Term::first_of_era(era);
-                    outcome.effects.push(Effect::Note(LeadershipEvent::Bootstrapped { term }));
+                    outcome.effects.push(Effect::LogLeadershipEvent(LeadershipEvent::Bootstrapped { term }));
                 }
                 InstanceEffect::Rejected { command, reason } => {
                     let (decree, why) = (format!("{command:?}"), reason.to_string());
-                    outcome.effects.push(Effect::Note(LeadershipEvent::CommandRejected { decree, why }));
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::CommandRejected { decree, why }));
                 }
                 InstanceEffect::MemberChanged { seat, health } => {
-                    outcome.effects.push(Effect::Note(LeadershipEvent::MemberHealthChanged { seat, health }));
+                    outcome.effects.push(Effect::LogLeadershipEvent(LeadershipEvent::MemberHealthChanged {
+                        seat,
+                        health,
+                    }));
                 }
             }
         }
@@ -423,5 +434,5 @@
         VoteChoice::Back => Some(Verdict::Back),
         VoteChoice::Withdrawn => None,
     };
-    Some(Effect::Vote { build: Build(build), stage, verdict, mandate: Some(lease) })
+    Some(Effect::CastVote { build: Build(build), stage, verdict, lease: Some(lease) })
 }
--- a/crates/stagepond-sidecar/src/state_files.rs
+++ b/crates/stagepond-sidecar/src/state_files.rs
@@ -119,9 +119,9 @@
 }
 
 /// Writes the persistent states that it receives, outside the event loop, and confirms each write with
-/// `Input::Kept`. Of several queued states only the last is written, as it includes the others. After a
-/// failed write nothing is stored or confirmed any more, so the protocol sends no vote or acknowledgement that
-/// depends on it.
+/// `Input::RaftStatePersisted`. Of several queued states only the last is written, as it includes the others.
+/// After a failed write nothing is stored or confirmed any more, so the protocol sends no vote or
+/// acknowledgement that depends on it.
 pub async fn write_persistent_states(
     path: PathBuf, mut states: mpsc::UnboundedReceiver<(u64, Vec<u8>)>, inputs: mpsc::Sender<Input>,
 ) {
@@ -134,7 +134,7 @@
         let written = tokio::task::spawn_blocking(move || write_persistent_state(&target, &encoded)).await;
         match written {
             Ok(Ok(())) => {
-                if inputs.send(Input::Kept(number)).await.is_err() {
+                if inputs.send(Input::RaftStatePersisted(number)).await.is_err() {
                     return;
                 }
             }
--- a/crates/stagepond-sidecar/src/verification.rs
+++ b/crates/stagepond-sidecar/src/verification.rs
@@ -11,7 +11,7 @@
 use stagepond_tuf::planted::Planted;
 use stagepond_tuf::target::{Checking, Wrong};
 
-use crate::messages::BODY_MAX;
+use crate::messages::MAX_BODY_BYTES;
 
 /// Search results that are cached. The oldest is evicted first and searched for again when needed.
 const MAX_CACHED_TARGETS: usize = 1024;
@@ -19,7 +19,7 @@
 const MAX_QUEUED_SEARCHES: usize = 64;
 /// Size limit of a metadata file in bytes. Metadata arrives over the same connections as any other answer, so
 /// the limit for answers applies.
-const MAX_METADATA_BYTES: u64 = BODY_MAX as u64;
+const MAX_METADATA_BYTES: u64 = MAX_BODY_BYTES as u64;
 /// Delay before the first retry of a failed refresh; it doubles with each further failure.
 const FIRST_RETRY_DELAY: Tenths = Tenths::ms(500);
 /// Upper bound of the delay between retries.
