--- a/crates/stagepond-sidecar/src/discovery.rs
+++ b/crates/stagepond-sidecar/src/discovery.rs
@@ -71,7 +71,7 @@
             address: entry.address.parse().with_context(|| format!("address {:?}", entry.address))?,
             name: PodName(entry.name.into()),
             zone: Zone(position("zone", &names.zones, &entry.zone)?),
-            kind: MachineKind(position("type", &names.kinds, &entry.r#type)?),
+            kind: MachineKind(position("type", &names.machine_kinds, &entry.r#type)?),
             cell: Cell(entry.group),
             availability,
             weight: entry.weight,
@@ -204,8 +204,11 @@
         "zone":"a","type":"m2","group":3,"status":"in_service","weight":1.5,"since_ms":6100.05,"release":41}]}"#;
 
     fn read(line: &str) -> Result<List> {
-        let names =
-            Names { operations: vec![], zones: vec!["a".into()], kinds: vec!["m1".into(), "m2".into()] };
+        let names = Names {
+            operations: vec![],
+            zones: vec!["a".into()],
+            machine_kinds: vec!["m1".into(), "m2".into()],
+        };
         decode(serde_json::from_str(line).unwrap(), &names)
     }
 
--- a/crates/stagepond-sidecar/src/launch.rs
+++ b/crates/stagepond-sidecar/src/launch.rs
@@ -129,8 +129,8 @@
     };
     let optional =
         |field: &str, text: &Option<String>| text.as_deref().map(|t| address(field, t)).transpose();
-    let (facts, names) = stagepond_facts::read(&form.settings)?;
-    let ms = |path: &str| stagepond_facts::number(&form.settings, path).map(Tenths::floor_ms);
+    let (facts, names) = stagepond_facts::parse_settings(&form.settings)?;
+    let ms = |path: &str| stagepond_facts::number_at(&form.settings, path).map(Tenths::floor_ms);
     let on = |path: &str| match form.settings.pointer(path) {
         Some(Value::Bool(on)) => *on,
         Some(Value::Number(n)) => n.as_f64() != Some(0.0),
@@ -138,7 +138,7 @@
         _ => false,
     };
     let streams = |operation: &Value| operation.pointer("/streaming") == Some(&Value::Bool(true));
-    if stagepond_facts::list(&form.settings, "/classes")?.iter().any(streams) {
+    if stagepond_facts::list_at(&form.settings, "/classes")?.iter().any(streams) {
         bail!("settings: /classes: streamed answers are not there on sockets");
     }
     if facts.sticky_keys {
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -271,7 +271,7 @@
     }
 
     fn names() -> Names {
-        Names { operations: vec![], zones: vec![], kinds: vec![] }
+        Names { operations: vec![], zones: vec![], machine_kinds: vec![] }
     }
 
     fn file(text: &str) -> (tempfile::TempDir, PathBuf) {
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -317,7 +317,7 @@
     #[case::unknown_operation("DISPUTE", "server=a&class=dance&age_ms=3")]
     #[case::no_age("DISPUTE", "server=a&class=lookup&age_ms=-3")]
     fn malformed_news_is_told_apart_from_news(#[case] kind: &str, #[case] data: &str) {
-        let names = Names { operations: vec!["lookup".into()], zones: vec![], kinds: vec![] };
+        let names = Names { operations: vec!["lookup".into()], zones: vec![], machine_kinds: vec![] };
         assert!(event(kind, data, &names).is_err());
         assert!(event("SOMETHING_NEW", data, &names).unwrap().is_none());
     }
--- a/crates/stagepond-simhost/src/wire.rs
+++ b/crates/stagepond-simhost/src/wire.rs
@@ -221,7 +221,7 @@
         if name == "START" {
             let seed: i128 = parts.parse("nonce64")?;
             let settings = serde_json::from_str(parts.rest.unwrap_or_default()).context("settings")?;
-            let (facts, names) = stagepond_facts::read(&settings)?;
+            let (facts, names) = stagepond_facts::parse_settings(&settings)?;
             let mut balancer = Balancer::new(facts, seed as u64);
             balancer.start(&mut out);
             self.instances.insert(sidecar, Instance { balancer, names });
@@ -255,7 +255,7 @@
                     let zone = names.zones.iter().position(|z| z == area);
                     let zone =
                         Zone(zone.ok_or_else(|| anyhow!("field area: {area:?} is not in the settings"))?);
-                    let kind = names.kinds.iter().position(|k| k == kind);
+                    let kind = names.machine_kinds.iter().position(|k| k == kind);
                     let kind =
                         MachineKind(kind.ok_or_else(|| anyhow!("field family_type: not in the settings"))?);
                     balancer.on_pod(*pod, kind, zone, *availability, *cell, *weight, *born, *build);
