--- a/crates/stagepond-simhost/src/main.rs
+++ b/crates/stagepond-simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Adapter between the simulator's line protocol and the decision module. It decides nothing.
+//! Runs instances of the decision module on the simulator's line protocol: events on standard input, actions
+//! on standard output. The adapter translates and takes no decisions.
 
 mod wire;
 
