--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -14,7 +14,7 @@
 pub use crate::state::Balancer;
 use crate::{host::*, state::*};
 
-// The sequential test. Values are the paper's or the design page's defaults unless a comment says why not.
+// Sequential test. A comment gives the reason where a value differs from the paper or the design page.
 
 /// Half width of the band (the paper's Delta): unsent evidence beyond it is sent as one bit.
 const BAND: f64 = 2.0;
@@ -27,8 +27,9 @@
 const BETA: f64 = 0.05;
 /// Failure share assumed for the earlier build before any outcome is known.
 const INITIAL_P0: f64 = 0.02;
+/// Lower bound of that share in the error test.
 const MIN_P0: f64 = 0.01;
-/// Answers from which a baseline is trusted.
+/// Number of answers from which on a baseline is used.
 const MIN_BASELINE_ANSWERS: u32 = 20;
 /// A bad build fails by this share more often than the earlier one.
 const FAILURE_INCREASE: f64 = 0.05;
@@ -44,6 +45,7 @@
 const ADVANCE_WAIT: Tenths = Tenths::ms(4000);
 /// A conclusive vote to advance is cast this long after the minimum stage time.
 const CONCLUSIVE_ADVANCE_DELAY: Tenths = Tenths::ms(700);
+/// While fewer outcomes of the build are known, a vote to advance waits twice as long.
 const MIN_OUTCOMES_TO_ADVANCE: u32 = 6;
 /// An answer is slow if it takes longer than this quantile of the earlier build's answer times. A fixed limit
 /// such as the SLO time would never show a slow build on a quiet day.
@@ -362,6 +364,7 @@
         self.stalled_at = if self.now > self.next_tick + MAX_TICK_DELAY { self.now } else { self.stalled_at };
     }
 
+    /// Runs the tick if it is due, then the rules until none applies.
     fn apply_rules(&mut self, host: &mut dyn Host) {
         self.update_clock(host);
         if self.now >= self.next_tick {
@@ -372,6 +375,7 @@
         self.trial_tokens.iter_mut().for_each(|tokens| *tokens = tokens.min(self.facts.cap_burst));
     }
 
+    /// Gives up the next invocation whose check is due, or replaces its dispatch if that is stuck.
     fn check_next_due(&mut self, host: &mut dyn Host) -> bool {
         let Some(inv) = self.checks.pop_due(self.now) else { return false };
         let Some(invocation) = self.invocations.get(&inv).filter(|i| !i.answered) else { return true };
@@ -388,14 +392,15 @@
         let Some(inv) = self.ready.pop_front() else { return false };
         let placeable = |i: &&Invocation| !i.answered && i.in_flight() == 0;
         let Some(invocation) = self.invocations.get(&inv).filter(placeable) else { return true };
-        // A dispatch cancelled at a stuck pod has cost its price already; another pod may still answer in
-        // time.
+        // The cost of a dispatch that was cancelled at a stuck pod is already spent, and another pod may
+        // still answer in time.
         let cancelled = invocation.dispatches.last().is_some_and(|d| !d.failed && !d.not_executed);
         let early = self.now < invocation.hold_until || cancelled;
         let may_hold = early && invocation.first_possibly_executed().is_none();
         let within_limits =
             invocation.dispatches.len() < self.facts.max_dispatches && self.now < invocation.until;
-        // What failed twice would fail at a third pod too. Errors caused by clients must not fill the fleet.
+        // An invocation that failed twice would fail at a third pod too. Retries of errors that clients cause
+        // must not fill the fleet.
         let failures = invocation.dispatches.iter().filter(|d| d.failed).count();
         let may_retry = failures < 2 && self.may_dispatch_again(invocation);
         let may_dispatch = within_limits && (invocation.dispatches.is_empty() || early && may_retry);
@@ -407,6 +412,7 @@
         true
     }
 
+    /// Votes to roll back once any test has been above the rollback threshold for this voter's delay.
     fn vote_to_roll_back(&mut self, host: &mut dyn Host) -> bool {
         let Some((delay, release)) = self.vote_delay_and_release() else { return false };
         let proven = self.totals.iter().any(|total| *total >= rollback_threshold());
@@ -418,6 +424,8 @@
             && self.cast_vote(host, release, Verdict::Back)
     }
 
+    /// Votes to advance once the wait since the start of the stage's pods and this voter's delay are over,
+    /// while no evidence gathers against the build.
     fn vote_to_advance(&mut self, host: &mut dyn Host) -> bool {
         let Some((delay, release)) = self.vote_delay_and_release() else { return false };
         let newest_start = self.trial_pods.iter().map(|&p| self.pods.started_at[p]).max();
@@ -440,7 +448,7 @@
             release.phase == Phase::Trial && self.slow_period != Some(true) && self.facts.votes_advance;
         // A total that rises from its lowest value in this stage is evidence against the build.
         let losing_credit =
-            (0..TESTS).any(|test| self.totals[test] > (self.lowest_totals[test] + BAND / 2.0).min(0.0));
+            (0..TEST_COUNT).any(|test| self.totals[test] > (self.lowest_totals[test] + BAND / 2.0).min(0.0));
         if !may_advance || losing_credit || self.now < pods_ready_at.max(self.started_at) + wait {
             self.advance_ready_since = None;
             return false;
@@ -473,6 +481,7 @@
         true
     }
 
+    /// Sets a timer for what is due next, unless one is set.
     fn schedule_timer(&mut self, host: &mut dyn Host) -> bool {
         self.next_timer().map(|delay| host.set_timer(delay, 0)).is_some()
     }
@@ -489,6 +498,7 @@
         self.close(inv);
     }
 
+    /// Whether a further dispatch is safe, given what earlier ones may have executed.
     fn may_dispatch_again(&self, invocation: &Invocation) -> bool {
         let op = &self.facts.operations[invocation.op.0];
         match (invocation.first_possibly_executed(), op.retry_safety) {
@@ -500,8 +510,8 @@
         }
     }
 
-    /// Replaces or cancels the dispatch in flight if its pod looks stuck. Behind a queue another dispatch
-    /// would only lengthen the queue.
+    /// Replaces or cancels the dispatch in flight if its pod looks stuck. If the pod only has a queue,
+    /// another dispatch would lengthen the queue.
     fn replace_if_stuck(&mut self, host: &mut dyn Host, inv: &InvId) {
         let invocation = &self.invocations[inv];
         let Some(nth) = invocation.dispatches.iter().position(|d| !d.ended) else { return };
@@ -523,6 +533,7 @@
         }
     }
 
+    /// Dispatches to pod `p` and charges its dispatch level and, for a pod on trial, the cap.
     fn dispatch(&mut self, host: &mut dyn Host, inv: &InvId, p: usize) {
         let (op, until) = self.record_dispatch(inv, p);
         let level = self.current_dispatch_level(p) + 1.0;
@@ -550,7 +561,8 @@
         self.trial_pods = trial.into_iter().filter(|&p| Some(self.pods.build[p]) == judged).collect();
         self.earlier_pods = earlier;
         self.no_earlier_pods = self.pods.all_available().all(|p| Some(self.pods.build[p]) >= judged);
-        // Once the newest released build has half of the earlier pods, the older builds only stand by.
+        // Once the newest released build has half of the earlier pods, pods of older builds get no further
+        // dispatches.
         let newest_released = self.earlier_pods.iter().map(|&p| self.pods.build[p]).max();
         let is_newest = |p: &usize| Some(self.pods.build[*p]) == newest_released;
         if self.earlier_pods.iter().filter(|p| is_newest(p)).count() * 2 >= self.earlier_pods.len() {
@@ -570,6 +582,8 @@
         matches!(phase, Phase::Trial | Phase::GoingBack) && within_cap && !barred
     }
 
+    /// Chooses a pod for the next dispatch: one on trial for the trial's share of the traffic, unless it is
+    /// much more loaded than the earlier pod that would be chosen instead.
     fn choose_pod(&mut self, inv: &InvId) -> Option<usize> {
         let invocation = &self.invocations[inv];
         let (op, is_first) = (invocation.op, invocation.dispatches.is_empty());
@@ -626,8 +640,8 @@
         near.min(all).max(if near_trial > 0 { 0.0 } else { all })
     }
 
-    /// Chooses a pod of this zone, unless a pod of another zone is enough less loaded or the share that
-    /// spills to other zones takes it there.
+    /// Chooses a pod of this zone, unless one of another zone is so much less loaded that it is worth the
+    /// cross-zone price. `spill_share` of the dispatches go to the other zone if its pod is not more loaded.
     fn choose_from_set(&mut self, trial: bool, tried: &[usize], eligible: PodFilter) -> Option<usize> {
         let near = self.choose_of_two(trial, true, tried, eligible);
         let far = self.choose_of_two(trial, false, tried, eligible);
@@ -785,8 +799,8 @@
         // A dispatch cancelled at a pod that looked stuck is slow; otherwise a build that never answers would
         // never be found slow.
         let cancelled = is_judged && ending == Ending::Cancelled;
-        let client_in_haste = ending == Ending::TimedOut && took < self.late_after(op);
-        if client_in_haste || !(counts || cancelled) || is_judged && age < MIN_POD_AGE {
+        let time_limit_too_short = ending == Ending::TimedOut && took < self.late_after(op);
+        if time_limit_too_short || !(counts || cancelled) || is_judged && age < MIN_POD_AGE {
             return;
         }
         let trial_affects_fleet = self.release_affecting_fleet().is_some();
@@ -839,7 +853,7 @@
         let p0 = self.failure_baselines[op.0].share.clamp(MIN_P0, 0.9);
         let error_evidence =
             if excused || cancelled { 0.0 } else { log_likelihood_ratio(failed, p0, p0 + FAILURE_INCREASE) };
-        // A slow build cannot be told from a slow hour if the earlier build has not answered lately, has
+        // A slow build cannot be told from a slow period if the earlier build has not answered recently, has
         // hardly any load left, or the fleet is near its limit.
         let baseline = &self.latency_baselines[self.baseline_index(p, op)];
         let comparable = self.cap() < 1.0
@@ -861,9 +875,9 @@
         self.add_evidence(WRONG_ANSWER_TEST, -no_objection);
     }
 
-    /// Whether errors of the build under judgement are put down to single pods. They are while at most a
-    /// quarter of the build's pods have errors. While an earlier pod has many errors too, they are unless
-    /// more than half of the build's pods have as many.
+    /// Whether errors of the build under judgement are attributed to single pods instead of the build: if at
+    /// most a quarter of the build's pods have errors, or if an earlier pod has many errors too and at most
+    /// half of the build's pods have as many. Only pods that have answered this sidecar are counted.
     fn errors_are_excused(&self, released: bool) -> bool {
         let error_share = &self.pods.error_share;
         let own_pods = if released { &self.earlier_pods } else { &self.trial_pods };
@@ -872,9 +886,10 @@
             !released && self.earlier_pods.iter().any(|&p| error_share[p] > UNHEALTHY_MARGIN);
         // A sidecar with little traffic has had answers from a few pods only, and by chance one failing pod
         // more may be among them.
-        let met = own_pods.iter().filter(|p| self.pods.last_answer[**p] > self.pods.started_at[**p]).count();
-        let max_failing = met / 4 + usize::from(met < own_pods.len());
-        earlier_pods_fail && pods_with_errors(UNHEALTHY_MARGIN) <= met.max(2) / 2
+        let answered =
+            own_pods.iter().filter(|p| self.pods.last_answer[**p] > self.pods.started_at[**p]).count();
+        let max_failing = answered / 4 + usize::from(answered < own_pods.len());
+        earlier_pods_fail && pods_with_errors(UNHEALTHY_MARGIN) <= answered.max(2) / 2
             || pods_with_errors(UNHEALTHY_MARGIN / 16.0) <= max_failing
     }
 
@@ -913,8 +928,8 @@
         }
     }
 
-    /// Returns the fleet evidence, without what speaks against the build if the slow period did not begin
-    /// soon after the build got more traffic. The begin is taken from the sum of all sidecars: of a few
+    /// Returns the fleet evidence; evidence against the build is dropped if the slow period did not begin
+    /// soon after the build got more traffic. The begin is determined from the sum of all sidecars: of a few
     /// answers a second sometimes none is slow, and a single sidecar would then see a new period begin.
     fn filter_slow_period(&mut self, evidence: f64) -> f64 {
         self.fleet_slowness = self.fleet_slowness * 0.8 + evidence;
@@ -966,8 +981,8 @@
             return;
         }
         let usual = self.slow_share_before.max(1.0 - SLOW_QUANTILE);
-        // Such a build slows the fleet in step with its traffic: at a quarter it shows half of what it does
-        // at half.
+        // A build that slows the fleet does so in proportion to its traffic: at a quarter of the traffic the
+        // increase is half of that at half.
         let traffic = if self.no_earlier_pods { 0.5 } else { self.trial_share };
         let min_increase = FLEET_SLOW_INCREASE * (2.0 * traffic).clamp(0.5, 1.0);
         // A bound below the random variation of a few answers would make the sum of many sidecars too small.
@@ -1003,14 +1018,16 @@
         }
     }
 
-    /// Moves the limit in proportion to how far the share of late answers is from its maximum, since a
-    /// sidecar with little traffic takes a second or two to gather eight answers.
+    /// Moves the limit in proportion to how far the share of late answers is from its maximum. Small fixed
+    /// steps would be too slow, since a sidecar with little traffic takes a second or two to gather eight
+    /// answers.
     fn adjust_concurrency_limit(&mut self) {
         let (late, all) = std::mem::take(&mut self.limit_sample);
         let limit_reached = std::mem::take(&mut self.limit_reached);
         let excess = late / all - MAX_LATE_SHARE;
         if excess > 0.0 {
-            // If far pods do better, the first answer to late near pods is to dispatch there.
+            // If far pods are late less often, dispatches first move there; the limit is lowered by the least
+            // step only.
             let can_spill = self.near_pods[0] < self.earlier_pods.len()
                 && self.late_share[0] > self.late_share[1] + UNHEALTHY_MARGIN;
             let cut = if can_spill { 0.07 } else { 0.07 + 0.6 * excess };
@@ -1030,7 +1047,8 @@
         }
     }
 
-    /// Factor on the concurrency limit by which operations of more value for their work are throttled later.
+    /// Factor on the concurrency limit, higher for operations with more billed value for their work, so that
+    /// these are throttled later.
     fn value_factor(&mut self, op: Op) -> f64 {
         let work = if self.facts.billed_value_per_work {
             1.0
@@ -1047,8 +1065,8 @@
         let dt = (self.now - self.next_tick + TICK_INTERVAL).as_secs().max(0.05);
         self.next_tick = self.now + TICK_INTERVAL;
         self.ready.append(&mut self.waiting);
-        // A sidecar with little traffic uses few pods; spread over all it would learn about none of them and
-        // open a connection for each dispatch.
+        // A sidecar with little traffic uses few pods. If it spread its dispatches over all, it would learn
+        // about none of them and open a connection for each dispatch.
         self.subset_size = self.rate.max(6.0) as usize;
         let uptime = (self.now - self.started_at).as_secs().max(1.0);
         self.rate += (self.succeeded_since_tick / dt - self.rate) * (dt / 15.0).max(dt / uptime).min(1.0);
@@ -1078,8 +1096,8 @@
         let is_healthy = |p: &&usize| self.pods.late_share[**p] < UNHEALTHY_MARGIN / 2.0;
         let healthy = self.earlier_pods.iter().filter(is_healthy).count();
         self.some_pods_healthy = healthy * 3 >= self.earlier_pods.len();
-        // With few answers from each pod the share must follow from fewer, or a fault would be over before it
-        // is known.
+        // With few answers from each pod the average covers fewer of them; otherwise a fault would be over
+        // before it shows.
         self.late_share_window = (6.0 * self.rate_per_pod).clamp(4.0, 40.0);
         let decay = 1.0 - 0.2 * dt * self.rate_per_pod / self.late_share_window;
         self.pods.late_share.iter_mut().for_each(|late_share| *late_share *= decay);
@@ -1100,7 +1118,7 @@
         Some((VOTER_DELAY.scale(self.voter_rank? as f64), self.judged_release()?))
     }
 
-    /// Casts the vote unless the same one was cast lately; returns whether it did.
+    /// Casts the vote unless the same one was cast and is not due for repetition; returns whether it did.
     fn cast_vote(&mut self, host: &mut dyn Host, release: ReleaseState, verdict: Verdict) -> bool {
         let ReleaseState { build, stage, .. } = release;
         let is_same = |b: Ballot| (b.build, b.stage, b.verdict) == (build, stage, verdict);
--- a/crates/stagepond/src/host.rs
+++ b/crates/stagepond/src/host.rs
@@ -220,7 +220,7 @@
     pub cap_burst: f64,
     /// The cap applies to each operation separately instead of to all traffic.
     pub cap_per_operation: bool,
-    /// In the first so many stages the build on trial gets idempotent operations only.
+    /// Number of stages, from the first, in which the build on trial gets idempotent operations only.
     pub idempotent_only_stages: u32,
     /// A key that a build has answered must not be sent to an older build, until a rollback.
     pub sticky_keys: bool,
--- a/crates/stagepond/src/state.rs
+++ b/crates/stagepond/src/state.rs
@@ -238,10 +238,12 @@
         self.heap.push(Reverse((at, self.sequence, inv.clone())));
     }
 
+    /// When the next check is due; [`Tenths::NEVER`] if there is none.
     pub fn next(&self) -> Tenths {
         self.heap.peek().map_or(Tenths::NEVER, |Reverse((at, _, _))| *at)
     }
 
+    /// Removes and returns the next invocation if its check is due.
     pub fn pop_due(&mut self, now: Tenths) -> Option<InvId> {
         if self.next() > now {
             return None;
@@ -251,7 +253,7 @@
 }
 
 /// Number of sequential tests that run on a build. Arrays of this length are indexed by the constants below.
-pub const TESTS: usize = 4;
+pub const TEST_COUNT: usize = 4;
 /// The build fails more often than the earlier one.
 pub const ERROR_TEST: usize = 0;
 /// The build answers more slowly than the earlier one.
@@ -268,9 +270,9 @@
     /// Random number drawn at the start of the sender.
     pub session: u16,
     /// For each test, how often the log-likelihood ratio crossed the upper bound of the band.
-    pub up_crossings: [u16; TESTS],
+    pub up_crossings: [u16; TEST_COUNT],
     /// For each test, how often it crossed the lower bound.
-    pub down_crossings: [u16; TESTS],
+    pub down_crossings: [u16; TEST_COUNT],
     /// Outcomes that the sender has seen of the build.
     pub outcomes: u16,
 }
@@ -292,7 +294,7 @@
 
     /// For each test the upper minus the lower crossings, and the number of outcomes, that are new since the
     /// counts `old` of the same sender.
-    pub fn since(&self, old: &EvidenceCounts) -> ([f64; TESTS], u32) {
+    pub fn since(&self, old: &EvidenceCounts) -> ([f64; TEST_COUNT], u32) {
         let same_session = old.session == self.session;
         let growth =
             |new: u16, old: u16| (new.wrapping_sub(if same_session { old } else { 0 }) as i16).max(0);
@@ -308,13 +310,13 @@
     /// Inverse of [`encode`](Self::encode); `None` if the format is unknown or the length is wrong.
     pub fn decode(payload: &[u8]) -> Option<(Build, EvidenceCounts)> {
         let (&EVIDENCE_FORMAT, rest) = payload.split_first()? else { return None };
-        let bytes: [u8; 6 + 4 * TESTS] = rest.try_into().ok()?;
+        let bytes: [u8; 6 + 4 * TEST_COUNT] = rest.try_into().ok()?;
         let number = |i: usize| u16::from_le_bytes([bytes[2 * i], bytes[2 * i + 1]]);
         let counts = EvidenceCounts {
             session: number(1),
             outcomes: number(2),
             up_crossings: std::array::from_fn(|test| number(3 + test)),
-            down_crossings: std::array::from_fn(|test| number(3 + TESTS + test)),
+            down_crossings: std::array::from_fn(|test| number(3 + TEST_COUNT + test)),
         };
         Some((Build(number(0)), counts))
     }
@@ -473,7 +475,7 @@
     pub(crate) trial_tokens: Vec<f64>,
     /// Recent invocations in each bucket of keys.
     pub(crate) key_bucket_traffic: Vec<f64>,
-    /// The first so many buckets of keys go to the build on trial.
+    /// Number of buckets of keys, from the first, that go to the build on trial.
     pub(crate) trial_key_buckets: usize,
     /// Newest build that answered a key.
     pub(crate) key_builds: HashMap<KeyId, Build>,
@@ -486,7 +488,7 @@
     /// Answers of the earlier build, plus an initial count.
     pub(crate) earlier_answers: f64,
     /// Log-likelihood ratios of this sidecar since the last crossing, within the band.
-    pub(crate) unsent_evidence: [f64; TESTS],
+    pub(crate) unsent_evidence: [f64; TEST_COUNT],
     pub(crate) own_counts: EvidenceCounts,
     /// Last counts received from each sidecar.
     pub(crate) peer_counts: Vec<EvidenceCounts>,
@@ -495,11 +497,11 @@
     /// Rank among the sidecars that may vote; `None` if this sidecar may not.
     pub(crate) voter_rank: Option<usize>,
     /// Fleet-wide log-likelihood ratios.
-    pub(crate) totals: [f64; TESTS],
+    pub(crate) totals: [f64; TEST_COUNT],
     /// Evidence that is not yet added to `totals`.
-    pub(crate) pending_evidence: [f64; TESTS],
+    pub(crate) pending_evidence: [f64; TEST_COUNT],
     /// Lowest totals during this stage.
-    pub(crate) lowest_totals: [f64; TESTS],
+    pub(crate) lowest_totals: [f64; TEST_COUNT],
     /// Answers in the current second that were slower than before the build came, and all.
     pub(crate) fleet_sample: (f64, f64),
     pub(crate) fleet_sampled_at: Tenths,
@@ -560,10 +562,10 @@
     /// Clears all evidence when another build comes under judgement.
     pub(crate) fn reset_evidence(&mut self) {
         self.trial_tokens.iter_mut().for_each(|tokens| *tokens = 0.0);
-        self.unsent_evidence = [0.0; TESTS];
-        self.totals = [0.0; TESTS];
-        self.pending_evidence = [0.0; TESTS];
-        self.lowest_totals = [0.0; TESTS];
+        self.unsent_evidence = [0.0; TEST_COUNT];
+        self.totals = [0.0; TEST_COUNT];
+        self.pending_evidence = [0.0; TEST_COUNT];
+        self.lowest_totals = [0.0; TEST_COUNT];
         self.fleet_sample = (0.0, 0.0);
         self.fleet_slowness = 0.0;
         self.slow_period = None;
