--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -8,7 +8,7 @@
 use tokio::signal::unix::{signal, SignalKind};
 
 use crate::launch::{self, Reading};
-use crate::{operators, shell};
+use crate::{event_loop, operators};
 
 const HELP: &str = "\
 stagepond: an invocation router and release judge, as a sidecar
@@ -68,7 +68,7 @@
             }
             let launch = read(&config, &operators, Reading::Start)?;
             let reread = move || read(&config, &operators, Reading::Again).map(launch::Launch::changes);
-            let ended = runtime.block_on(shell::serve(launch, reread, hangups));
+            let ended = runtime.block_on(event_loop::serve(launch, reread, hangups));
             runtime.shutdown_background();
             ended
         }
--- a/crates/stagepond-sidecar/src/wire.rs
+++ b/crates/stagepond-sidecar/src/connection.rs
@@ -34,7 +34,7 @@
 
 const HEAD_END: &[u8; 4] = b"\r\n\r\n";
 /// The longest head, and the most that a connection's buffer holds: far over any usual one.
-pub const HEAD_MAX: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 const FIELDS_MAX: usize = 100;
 
 /// Where in a message the bytes that came in last stand, and what its head says of its length. The library
@@ -68,14 +68,15 @@
             match &mut self.reading {
                 Reading::Head(so_far) => {
                     let before = so_far.len();
-                    so_far.extend_from_slice(&bytes[..bytes.len().min(HEAD_MAX.saturating_sub(before))]);
+                    so_far
+                        .extend_from_slice(&bytes[..bytes.len().min(MAX_HEAD_BYTES.saturating_sub(before))]);
                     let mut fields = [httparse::EMPTY_HEADER; FIELDS_MAX];
                     let mut head = httparse::Request::new(&mut fields);
                     let (end, next) = match head.parse(so_far) {
                         Ok(httparse::Status::Complete(end)) => {
                             (end, body_of(head.headers, &mut self.lengths))
                         }
-                        Ok(httparse::Status::Partial) if so_far.len() < HEAD_MAX => return,
+                        Ok(httparse::Status::Partial) if so_far.len() < MAX_HEAD_BYTES => return,
                         // Not a head, or too long a one: the library turns it away.
                         _ => (so_far.len(), Reading::Unknown),
                     };
@@ -143,46 +144,46 @@
 
 /// What is known of one connection at a time, for those who hold no end of it.
 #[derive(Clone, Default)]
-pub struct Trace(Arc<Mutex<State>>);
+pub struct ConnectionTrace(Arc<Mutex<State>>);
 
-impl Trace {
+impl ConnectionTrace {
     fn state(&self) -> MutexGuard<'_, State> {
         self.0.lock().expect("never held while panicking")
     }
 
     /// A message with a body of this length is written next.
-    pub fn begins(&self, body: usize) {
+    pub fn begin_message(&self, body: usize) {
         self.state().progress = Progress { head_end: 0, body_left: body };
     }
 
     /// Whether its last byte is with the system; only then can the other end have it.
-    pub fn whole(&self) -> bool {
+    pub fn is_message_written(&self) -> bool {
         self.state().progress.whole()
     }
 
     /// For a connection on which messages come in, their heads being followed.
-    pub fn of_messages() -> Trace {
-        let trace = Trace::default();
+    pub fn for_incoming_messages() -> ConnectionTrace {
+        let trace = ConnectionTrace::default();
         trace.state().heads = Some(Heads::default());
         trace
     }
 
     /// Whether the message whose head came last gives its length more than once, and so in two ways.
-    pub fn ambiguous(&self) -> bool {
+    pub fn has_ambiguous_length(&self) -> bool {
         self.state().heads.as_ref().is_some_and(|heads| heads.lengths > 1)
     }
 
     /// Since when a message has been coming in that is not there in full.
-    pub fn begun_at(&self) -> Option<Tenths> {
+    pub fn message_begun_at(&self) -> Option<Tenths> {
         self.state().heads.as_ref().and_then(|heads| heads.begun_at)
     }
 
     /// When bytes last came.
-    pub fn came_at(&self) -> Tenths {
+    pub fn last_received_at(&self) -> Tenths {
         self.state().came_at
     }
 
-    pub fn stands(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.state().stream.is_some()
     }
 
@@ -193,14 +194,14 @@
 
     /// Whether another message may go out on it: it stands, and nothing has come that is still to be read, nor
     /// the end. What came before the question would be taken for the answer.
-    pub fn fit(&self) -> bool {
+    pub fn is_reusable(&self) -> bool {
         let state = self.state();
         let peek = |stream: &Arc<TcpStream>| recv(stream.as_raw_fd(), &mut [0], MsgFlags::MSG_PEEK);
         !state.cut && !state.retired && state.stream.as_ref().map(peek) == Some(Err(Errno::EAGAIN))
     }
 
     /// Ends the sending at once, in this very call, and bars any connection still to come.
-    pub fn cut(&self) {
+    pub fn shut_down(&self) {
         let mut state = self.state();
         state.cut = true;
         if let Some(stream) = &state.stream {
@@ -210,14 +211,14 @@
     }
 }
 
-pub struct Wire {
+pub struct TracedConnection {
     stream: Arc<TcpStream>,
-    trace: Trace,
+    trace: ConnectionTrace,
     clock: Clock,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream, trace: Trace, clock: Clock) -> io::Result<Wire> {
+impl TracedConnection {
+    pub fn new(stream: TcpStream, trace: ConnectionTrace, clock: Clock) -> io::Result<TracedConnection> {
         stream.set_nodelay(true)?;
         let _ = setsockopt(&stream, sockopt::ReceiveTimestampns, &true);
         let stream = Arc::new(stream);
@@ -227,11 +228,13 @@
         }
         state.stream = Some(stream.clone());
         drop(state);
-        Ok(Wire { stream, trace, clock })
+        Ok(TracedConnection { stream, trace, clock })
     }
 
-    pub async fn connect(to: SocketAddr, trace: Trace, clock: Clock) -> io::Result<Wire> {
-        Wire::new(TcpStream::connect(to).await?, trace, clock)
+    pub async fn connect(
+        to: SocketAddr, trace: ConnectionTrace, clock: Clock,
+    ) -> io::Result<TracedConnection> {
+        TracedConnection::new(TcpStream::connect(to).await?, trace, clock)
     }
 }
 
@@ -251,7 +254,7 @@
     Ok((came.bytes, waited))
 }
 
-impl Drop for Wire {
+impl Drop for TracedConnection {
     fn drop(&mut self) {
         // Another connection may have taken this one's place while it was closing.
         let mut state = self.trace.state();
@@ -259,13 +262,13 @@
     }
 }
 
-impl Connection for Wire {
+impl Connection for TracedConnection {
     fn connected(&self) -> Connected {
         Connected::new()
     }
 }
 
-impl Read for Wire {
+impl Read for TracedConnection {
     fn poll_read(
         self: Pin<&mut Self>, cx: &mut Context<'_>, mut into: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
@@ -296,7 +299,7 @@
     }
 }
 
-impl Write for Wire {
+impl Write for TracedConnection {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         loop {
             ready!(self.stream.poll_write_ready(cx))?;
@@ -368,8 +371,8 @@
     async fn bytes_are_stamped_when_they_came_not_when_they_are_read() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let to = listener.local_addr().unwrap();
-        let (trace, clock) = (Trace::default(), Clock::start());
-        let mut wire = Wire::connect(to, trace.clone(), clock).await.unwrap();
+        let (trace, clock) = (ConnectionTrace::default(), Clock::start());
+        let mut wire = TracedConnection::connect(to, trace.clone(), clock).await.unwrap();
         let (peer, _) = listener.accept().await.unwrap();
         // The system begins to stamp a moment after it is first asked to.
         loop {
@@ -389,7 +392,7 @@
         let mut buffer = hyper::rt::ReadBuf::new(&mut into);
         let read = |cx: &mut Context| Pin::new(&mut wire).poll_read(cx, buffer.unfilled());
         std::future::poll_fn(read).await.unwrap();
-        let late = trace.came_at() - sent;
+        let late = trace.last_received_at() - sent;
         assert!(late.0.abs() < 400, "stamped {} tenths of a ms after it was sent", late.0);
     }
 }
--- a/crates/stagepond-sidecar/src/discovery.rs
+++ b/crates/stagepond-sidecar/src/discovery.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch, Notify};
 
 use crate::messages::*;
-use crate::stream::{self, Complaints};
+use crate::stream::{self, RateLimitedLog};
 
 /// An empty line comes every 2 s; one may be late by half of that.
 const SILENCE: Duration = Duration::from_millis(3000);
@@ -51,7 +51,7 @@
     1.0
 }
 
-pub fn decode(line: Value, names: &Names) -> Result<List> {
+pub fn decode_list(line: Value, names: &Names) -> Result<List> {
     let line: Line = serde_json::from_value(line)?;
     let position = |field: &str, all: &[String], name: &str| {
         let found = all.iter().position(|n| n == name);
@@ -136,12 +136,12 @@
     mut place: watch::Receiver<SocketAddr>, mut index: u64, names: Arc<Names>, whole: Arc<Notify>,
     inputs: mpsc::Sender<Input>,
 ) {
-    let complaints = Complaints::default();
+    let complaints = RateLimitedLog::default();
     loop {
         let address = *place.borrow_and_update();
         let tried = async {
             let why = session(address, &mut index, &names, &whole, &inputs).await;
-            complaints.say(format_args!("discovery: {why:#}"));
+            complaints.warn(format_args!("discovery: {why:#}"));
             if inputs.send(Input::ListBroke).await.is_ok() {
                 tokio::time::sleep(RECONNECT).await;
             }
@@ -181,7 +181,7 @@
             Ok(Err(error)) => Err(error),
             Err(error) => return error,
         };
-        match list.and_then(|list| decode(list, names)) {
+        match list.and_then(|list| decode_list(list, names)) {
             Ok(list) => {
                 *index = list.index;
                 if inputs.send(Input::Listed(list)).await.is_err() {
@@ -206,7 +206,7 @@
     fn read(line: &str) -> Result<List> {
         let names =
             Names { operations: vec![], zones: vec!["a".into()], kinds: vec!["m1".into(), "m2".into()] };
-        decode(serde_json::from_str(line).unwrap(), &names)
+        decode_list(serde_json::from_str(line).unwrap(), &names)
     }
 
     #[rstest]
--- a/crates/stagepond-sidecar/src/shell.rs
+++ b/crates/stagepond-sidecar/src/event_loop.rs
@@ -10,14 +10,14 @@
 use tokio::sync::{mpsc, watch, Notify};
 
 use crate::discovery;
-use crate::front::{self, Front, Operations};
+use crate::frontend::{self, Frontend, Operations};
 use crate::keeping;
 use crate::launch::Launch;
 use crate::leading::{Leading, Note};
 use crate::lifecycle::State;
 use crate::messages::*;
-use crate::peers::Peers;
-use crate::platform::{self, Vote};
+use crate::peers::PeerSocket;
+use crate::platform::{self, VoteRequest};
 use crate::pods::Pods;
 use crate::reducer::{Reducer, Switched};
 use crate::verifying::{Told, Verifying};
@@ -45,18 +45,18 @@
 
     let shared = launch.transport.sockets - SPARE_SOCKETS.min(launch.transport.sockets / 2);
     let clients_max = (shared as f64 * FRONT_SHARE) as usize;
-    let held = (launch.transport.memory as f64 * FRONT_MEMORY) as usize / front::CONNECTION_BYTES;
+    let held = (launch.transport.memory as f64 * FRONT_MEMORY) as usize / frontend::MAX_CONNECTION_BYTES;
     let clients_max = clients_max.min(held);
     let repeats = launch.facts.operations.iter().map(|o| o.repeat);
     let operations = Operations(names.operations.iter().cloned().zip(repeats).collect());
-    let front = Front::new(operations, clients_max, clock, inputs.clone());
+    let front = Frontend::new(operations, clients_max, clock, inputs.clone());
     let mut pods = Pods::new(shared - clients_max, launch.transport, clock, inputs.clone());
     let peers = match launch.peer_listen {
-        Some(at) => Some(Peers::bind(at, launch.peers, launch.peers_all).await?),
+        Some(at) => Some(PeerSocket::bind(at, launch.peers, launch.peers_all).await?),
         None => None,
     };
     if let Some(peers) = &peers {
-        tokio::spawn(peers.listen(me, news.clone()));
+        tokio::spawn(peers.receive(me, news.clone()));
     }
     let whole = Arc::new(Notify::new());
     let index = launch.known.index;
@@ -65,8 +65,8 @@
     let (votes, wanted) = mpsc::unbounded_channel();
     let vote_wait = duration(launch.facts.vote_wait);
     let (platform, place) = watch::channel(launch.places.platform);
-    tokio::spawn(platform::listen(place.clone(), names.clone(), news.clone()));
-    tokio::spawn(platform::votes(place, wanted, news.clone(), clock));
+    tokio::spawn(platform::follow_rollout(place.clone(), names.clone(), news.clone()));
+    tokio::spawn(platform::cast_votes(place, wanted, news.clone(), clock));
     let (keep, kept) = mpsc::unbounded_channel();
     let leading = match &launch.operators.leadership {
         Some(asked) => {
@@ -81,7 +81,8 @@
         None => None,
     };
     let at = front.listen(launch.listen)?;
-    let datagrams = peers.as_ref().and_then(Peers::address).map_or("none".into(), |at| at.to_string());
+    let datagrams =
+        peers.as_ref().and_then(PeerSocket::local_address).map_or("none".into(), |at| at.to_string());
     tracing::info!(name = launch.name, clients = %at, %datagrams, clients_max, "listening");
     launch.missing.iter().for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
 
@@ -114,12 +115,12 @@
             match effect {
                 Effect::Dispatch { id, call, to, wait } => pods.dispatch(id, call, to, wait),
                 Effect::GiveUp(id) => pods.give_up(id),
-                Effect::Answer(ticket, answer) => front.answer(ticket, answer),
+                Effect::Answer(ticket, answer) => front.send_answer(ticket, answer),
                 Effect::DropIdle(to) => pods.drop_idle(to),
-                Effect::Tell { to, words } => drop(peers.as_ref().map(|peers| peers.tell(to, &words))),
+                Effect::Tell { to, words } => drop(peers.as_ref().map(|peers| peers.send(to, &words))),
                 Effect::Vote { build, stage, verdict, mandate } => {
                     let until = tokio::time::Instant::now() + vote_wait;
-                    let _ = votes.send(Vote { build, stage, verdict, until, mandate });
+                    let _ = votes.send(VoteRequest { build, stage, verdict, until, mandate });
                 }
                 Effect::Keep { number, promises } => drop(keep.send((number, promises))),
                 Effect::KeepTrusted(kept) => drop(trust.send(kept)),
@@ -138,9 +139,9 @@
                         State::Ready => front.set_ready(true),
                         State::Leaving => {
                             front.set_ready(false);
-                            front.leave();
+                            front.begin_leaving();
                         }
-                        State::Draining => front.close_all(),
+                        State::Draining => front.close_connections(),
                         State::Stopped => return Ok(()),
                     }
                 }
@@ -199,7 +200,11 @@
 fn follow_effect(effect: &Effect) {
     match effect {
         Effect::Dispatch { id, call, to, wait } => {
-            let inv = call.headers.get(front::ID).and_then(|id| id.to_str().ok()).unwrap_or_default();
+            let inv = call
+                .headers
+                .get(frontend::REQUEST_ID_HEADER)
+                .and_then(|id| id.to_str().ok())
+                .unwrap_or_default();
             tracing::debug!(event = "dispatch", id = inv, dispatch = id.0, %to, wait = wait.0, "inv");
         }
         Effect::GiveUp(id) => tracing::debug!(event = "given_up", dispatch = id.0, "inv"),
--- a/crates/stagepond-sidecar/src/front.rs
+++ b/crates/stagepond-sidecar/src/frontend.rs
@@ -24,9 +24,9 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot, Notify};
 
+use crate::connection::{ConnectionTrace, TracedConnection, MAX_HEAD_BYTES};
 use crate::messages::*;
-use crate::stream::Complaints;
-use crate::wire::{Trace, Wire, HEAD_MAX};
+use crate::stream::RateLimitedLog;
 
 /// Connections that wait while the loop is busy; the system may hold fewer.
 const BACKLOG: u32 = 1024;
@@ -48,12 +48,12 @@
 /// 2 s, and places held for that long would let in fewer than knock.
 const FULL: f64 = 0.9;
 /// With its buffer and a body, the most that one connection holds.
-pub const CONNECTION_BYTES: usize = HEAD_MAX + BODY_MAX;
+pub const MAX_CONNECTION_BYTES: usize = MAX_HEAD_BYTES + BODY_MAX;
 const ID_MAX: usize = 128;
 /// No client waits for longer on one connection; the module forgets machines that are gone for longer.
 const LIMIT_MAX: Tenths = Tenths::ms(600_000);
 
-pub const ID: &str = "x-request-id";
+pub const REQUEST_ID_HEADER: &str = "x-request-id";
 const OPERATION: &str = "x-priority-class";
 const TIME_LIMIT: &str = "x-timeout-ms";
 const FINGERPRINT: &str = "idempotency-key";
@@ -82,7 +82,7 @@
     /// Whether it has asked if this sidecar is ready: reason to stay, but none to keep others out.
     asks_ready: bool,
     closing: bool,
-    trace: Trace,
+    trace: ConnectionTrace,
     end: Arc<End>,
 }
 
@@ -99,12 +99,12 @@
     fn cut_at(&self) -> Tenths {
         let Some(idle_since) = self.idle_since else { return Tenths::NEVER };
         let known = self.taken > 0 || self.asks_ready;
-        let whole_by = match self.trace.begun_at() {
+        let whole_by = match self.trace.message_begun_at() {
             Some(begun_at) if known => begun_at + WHOLE_WITHIN,
             None if known => Tenths::NEVER,
             _ => self.since + WHOLE_WITHIN,
         };
-        let soon = idle_since.max(self.trace.came_at()) + HALF_SENT;
+        let soon = idle_since.max(self.trace.last_received_at()) + HALF_SENT;
         if self.closing {
             whole_by.min(soon)
         } else {
@@ -118,7 +118,7 @@
     }
 }
 
-pub struct Front {
+pub struct Frontend {
     operations: Operations,
     clock: Clock,
     inputs: mpsc::UnboundedSender<Input>,
@@ -130,21 +130,21 @@
     clients_max: usize,
     changed: Notify,
     close_listener: Notify,
-    complaints: Complaints,
+    complaints: RateLimitedLog,
 }
 
 /// One client's connection, as its handlers know it.
 #[derive(Clone)]
 struct Connection {
     number: u64,
-    trace: Trace,
+    trace: ConnectionTrace,
 }
 
-impl Front {
+impl Frontend {
     pub fn new(
         operations: Operations, clients_max: usize, clock: Clock, inputs: mpsc::UnboundedSender<Input>,
-    ) -> Arc<Front> {
-        Arc::new(Front {
+    ) -> Arc<Frontend> {
+        Arc::new(Frontend {
             operations,
             clock,
             inputs,
@@ -156,7 +156,7 @@
             clients_max,
             changed: Notify::new(),
             close_listener: Notify::new(),
-            complaints: Complaints::default(),
+            complaints: RateLimitedLog::default(),
         })
     }
 
@@ -168,7 +168,7 @@
         self.owed.lock().expect("never held while panicking")
     }
 
-    pub fn answer(&self, ticket: Ticket, answer: FinalAnswer) {
+    pub fn send_answer(&self, ticket: Ticket, answer: FinalAnswer) {
         let owed = self.owed().remove(&ticket);
         // Nobody waits where the client has gone; the reducer is told of that in its turn.
         if let Some(owed) = owed {
@@ -181,12 +181,12 @@
     }
 
     /// Idle connections go while the listener still takes what crosses their end; the rest go once answered.
-    pub fn leave(&self) {
+    pub fn begin_leaving(&self) {
         self.leaving.store(true, Ordering::Relaxed);
-        self.close_all();
+        self.close_connections();
     }
 
-    pub fn close_all(&self) {
+    pub fn close_connections(&self) {
         self.clients().values_mut().for_each(Client::close);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Binds, and tells where; accepts until `close_listener`, then takes what still waits and ends.
-    pub fn listen(self: &Arc<Front>, at: SocketAddr) -> Result<SocketAddr> {
+    pub fn listen(self: &Arc<Frontend>, at: SocketAddr) -> Result<SocketAddr> {
         let bind = || -> std::io::Result<TcpListener> {
             let socket = if at.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
             // A successor starts on the same address while connections of this process are still closing.
@@ -212,7 +212,7 @@
         Ok(at)
     }
 
-    async fn accept(self: Arc<Front>, listener: TcpListener) {
+    async fn accept(self: Arc<Frontend>, listener: TcpListener) {
         let router = Router::new()
             .route("/ready", get(ready))
             .route("/{operation}", any(invoke))
@@ -231,7 +231,7 @@
                     self.clone().connected(number, stream, router.clone());
                 }
                 Err(error) => {
-                    self.complaints.say(format_args!("accept: {error}"));
+                    self.complaints.warn(format_args!("accept: {error}"));
                     tokio::time::sleep(ACCEPT_AGAIN).await;
                 }
             }
@@ -251,7 +251,7 @@
                 }
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => break,
                 Err(error) => {
-                    self.complaints.say(format_args!("accept: {error}"));
+                    self.complaints.warn(format_args!("accept: {error}"));
                     tokio::time::sleep(ACCEPT_AGAIN).await;
                 }
             }
@@ -279,7 +279,7 @@
         let of_use = clients.values().filter(|c| c.taken > 0).count();
         let all = clients.len();
         self.complaints
-            .say(format_args!("clients: {all} is the bound; {of_use} of use, {open} with one open"));
+            .warn(format_args!("clients: {all} is the bound; {of_use} of use, {open} with one open"));
         false
     }
 
@@ -291,7 +291,7 @@
     }
 
     /// Cuts what has not sent a whole message in its time, and keeps some room ahead of need.
-    async fn sweep(self: Arc<Front>) {
+    async fn sweep(self: Arc<Frontend>) {
         let mut last = self.clock.now();
         loop {
             tokio::time::sleep(duration(SWEEP_EVERY)).await;
@@ -309,8 +309,9 @@
         }
     }
 
-    fn connected(self: Arc<Front>, number: u64, stream: TcpStream, router: Router) {
-        let (end, now, trace) = (Arc::new(End::default()), self.clock.now(), Trace::of_messages());
+    fn connected(self: Arc<Frontend>, number: u64, stream: TcpStream, router: Router) {
+        let (end, now, trace) =
+            (Arc::new(End::default()), self.clock.now(), ConnectionTrace::for_incoming_messages());
         let client = Client {
             since: now,
             idle_since: Some(now),
@@ -322,11 +323,11 @@
         };
         self.clients().insert(number, client);
         tokio::spawn(async move {
-            if let Ok(wire) = Wire::new(stream, trace.clone(), self.clock) {
+            if let Ok(wire) = TracedConnection::new(stream, trace.clone(), self.clock) {
                 let router = router.layer(Extension(Connection { number, trace }));
                 let mut builder = http1::Builder::new();
                 // Accepted while leaving: it may still carry the invocation it was opened for.
-                builder.keep_alive(!self.leaving.load(Ordering::Relaxed)).max_buf_size(HEAD_MAX);
+                builder.keep_alive(!self.leaving.load(Ordering::Relaxed)).max_buf_size(MAX_HEAD_BYTES);
                 let serving = builder.serve_connection(wire, TowerToHyperService::new(router));
                 tokio::pin!(serving);
                 loop {
@@ -390,7 +391,9 @@
     idle.into_iter().take(most).for_each(Client::close);
 }
 
-async fn ready(Shared(front): Shared<Arc<Front>>, Extension(connection): Extension<Connection>) -> Response {
+async fn ready(
+    Shared(front): Shared<Arc<Frontend>>, Extension(connection): Extension<Connection>,
+) -> Response {
     let now = front.clock.now();
     if let Some(client) = front.clients().get_mut(&connection.number) {
         (client.asks_ready, client.idle_since) = (true, Some(now));
@@ -424,7 +427,7 @@
     if text(OPERATION) != Some(first) {
         return Err(malformed("X-Priority-Class is not the first part of the path"));
     }
-    let id = text(ID).filter(|id| id.len() <= ID_MAX);
+    let id = text(REQUEST_ID_HEADER).filter(|id| id.len() <= ID_MAX);
     let id = id.ok_or_else(|| malformed("X-Request-ID is missing or no id"))?;
     let digits = text(TIME_LIMIT).filter(|ms| ms.bytes().all(|digit| digit.is_ascii_digit()));
     let limit = digits.and_then(|ms| ms.parse().ok()).map(Tenths::ms);
@@ -448,7 +451,7 @@
 
 /// Tells the reducer when the client goes before it has its answer.
 struct Waiting {
-    front: Arc<Front>,
+    front: Arc<Frontend>,
     ticket: Ticket,
     connection: u64,
 }
@@ -463,11 +466,13 @@
 }
 
 async fn invoke(
-    Shared(front): Shared<Arc<Front>>, Extension(connection): Extension<Connection>, invocation: Request,
+    Shared(front): Shared<Arc<Frontend>>, Extension(connection): Extension<Connection>, invocation: Request,
 ) -> Response {
     let (head, body) = invocation.into_parts();
     let checked = match check(&front.operations, &head.method, &head.uri, &head.headers) {
-        _ if connection.trace.ambiguous() => Err(malformed("the length of the body is given more than once")),
+        _ if connection.trace.has_ambiguous_length() => {
+            Err(malformed("the length of the body is given more than once"))
+        }
         checked => checked,
     };
     let (op, id, limit) = match checked {
@@ -492,7 +497,7 @@
     front.owed().insert(ticket, owed);
     front.set_idle(connection.number, false);
     let waiting = Waiting { front: front.clone(), ticket, connection: connection.number };
-    let until = connection.trace.came_at() + limit;
+    let until = connection.trace.last_received_at() + limit;
     let _ = front.inputs.send(Input::Arrived { ticket, id, call, op, until });
     let answer = answer.await;
     drop(waiting);
--- a/crates/stagepond-sidecar/src/launch.rs
+++ b/crates/stagepond-sidecar/src/launch.rs
@@ -157,7 +157,7 @@
         bail!("limits.sockets: {} leaves no room for clients and pods", form.limits.sockets);
     }
     let known = match form.known {
-        Some(known) => discovery::decode(known, &names).context("known")?,
+        Some(known) => discovery::decode_list(known, &names).context("known")?,
         None => List { index: 0, whole: true, rows: Vec::new() },
     };
     let absent = [
--- a/crates/stagepond-sidecar/src/lib.rs
+++ b/crates/stagepond-sidecar/src/lib.rs
@@ -2,8 +2,10 @@
 //! `stagepond` starts it; the laboratory drives the reducer alone.
 
 pub mod cli;
+pub mod connection;
 pub mod discovery;
-pub mod front;
+pub mod event_loop;
+pub mod frontend;
 pub mod keeping;
 pub mod launch;
 pub mod leading;
@@ -16,11 +18,9 @@
 pub mod platform;
 pub mod pods;
 pub mod reducer;
-pub mod shell;
 #[cfg(test)]
 mod stories;
 pub mod stream;
 pub mod verifying;
 #[cfg(test)]
 mod verifying_stories;
-pub mod wire;
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -21,7 +21,7 @@
 
 use crate::launch::StandingForm;
 use crate::messages::*;
-use crate::stream::{self, Complaints};
+use crate::stream::{self, RateLimitedLog};
 
 /// A sign of life comes every second; two may be lost to a busy machine.
 const SILENCE: Duration = Duration::from_millis(3000);
@@ -58,16 +58,16 @@
 }
 
 /// Reads the stream for as long as the program runs.
-pub async fn listen(
+pub async fn follow_rollout(
     mut place: watch::Receiver<Option<SocketAddr>>, names: Arc<Names>, inputs: mpsc::Sender<Input>,
 ) {
-    let complaints = Complaints::default();
+    let complaints = RateLimitedLog::default();
     loop {
         let address = *place.borrow_and_update();
         let tried = async {
             let Some(address) = address else { return std::future::pending().await };
             let why = session(address, &names, &inputs).await;
-            complaints.say(format_args!("platform: {why:#}"));
+            complaints.warn(format_args!("platform: {why:#}"));
             tokio::time::sleep(RECONNECT).await;
         };
         tokio::select! {
@@ -120,7 +120,7 @@
     }
 }
 
-pub struct Vote {
+pub struct VoteRequest {
     pub build: Build,
     pub stage: u32,
     pub verdict: Option<Verdict>,
@@ -130,8 +130,8 @@
 
 /// Carries votes out one after the other, as they came. One that is out when the platform moves stays where
 /// it went: it may count there.
-pub async fn votes(
-    place: watch::Receiver<Option<SocketAddr>>, mut votes: mpsc::UnboundedReceiver<Vote>,
+pub async fn cast_votes(
+    place: watch::Receiver<Option<SocketAddr>>, mut votes: mpsc::UnboundedReceiver<VoteRequest>,
     inputs: mpsc::Sender<Input>, clock: Clock,
 ) {
     while let Some(vote) = votes.recv().await {
@@ -149,7 +149,7 @@
     }
 }
 
-async fn put(address: SocketAddr, vote: &Vote, clock: Clock) -> Result<Standing, Ending> {
+async fn put(address: SocketAddr, vote: &VoteRequest, clock: Clock) -> Result<Standing, Ending> {
     let verdict = match vote.verdict {
         None => "abstain",
         Some(Verdict::On) => "promote",
@@ -163,7 +163,7 @@
         .header(CONTENT_TYPE, "application/x-www-form-urlencoded")
         .body(Full::<Bytes>::from(form))
         .expect("an address and a form make a call");
-    let connected = tokio::time::timeout(stream::OPEN_WITHIN, TcpStream::connect(address)).await;
+    let connected = tokio::time::timeout(stream::OPEN_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(connection)) = connected else { return Err(Ending::NoConnection) };
     let _ = connection.set_nodelay(true);
     let opened = hyper::client::conn::http1::handshake(TokioIo::new(connection)).await;
@@ -289,7 +289,7 @@
         let clock = Clock::start();
         let begun = if in_time { clock.now() } else { clock.now() - Tenths::ms(60_000) };
         let (build, stage, verdict, until) = (Build(2), 0, Some(Verdict::On), Instant::now());
-        let vote = Vote { build, stage, verdict, until, mandate: Some(mandate(begun)) };
+        let vote = VoteRequest { build, stage, verdict, until, mandate: Some(mandate(begun)) };
         let cast = tokio::spawn(async move { put(address, &vote, clock).await });
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = [0; 1];
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -23,10 +23,10 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
+use crate::connection::{ConnectionTrace, TracedConnection, MAX_HEAD_BYTES};
 use crate::launch::Transport;
 use crate::messages::*;
-use crate::stream::Complaints;
-use crate::wire::{Trace, Wire, HEAD_MAX};
+use crate::stream::RateLimitedLog;
 
 /// What a pod sends behind an answer comes right behind it.
 const REST: Duration = Duration::from_millis(2);
@@ -48,15 +48,15 @@
 #[derive(Clone)]
 struct Dial {
     to: SocketAddr,
-    trace: Trace,
+    trace: ConnectionTrace,
     clock: Clock,
     within: Duration,
 }
 
 impl tower_service::Service<Uri> for Dial {
-    type Response = Wire;
+    type Response = TracedConnection;
     type Error = io::Error;
-    type Future = Pin<Box<dyn std::future::Future<Output = io::Result<Wire>> + Send>>;
+    type Future = Pin<Box<dyn std::future::Future<Output = io::Result<TracedConnection>> + Send>>;
 
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -65,7 +65,7 @@
     fn call(&mut self, _to: Uri) -> Self::Future {
         let Dial { to, trace, clock, within } = self.clone();
         Box::pin(async move {
-            let connected = tokio::time::timeout(within, Wire::connect(to, trace, clock)).await;
+            let connected = tokio::time::timeout(within, TracedConnection::connect(to, trace, clock)).await;
             connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
         })
     }
@@ -73,7 +73,7 @@
 
 struct Lane {
     client: Client<Dial, Full<Bytes>>,
-    trace: Trace,
+    trace: ConnectionTrace,
     free_since: Instant,
     _counted: Arc<()>,
 }
@@ -82,7 +82,7 @@
 
 struct Out {
     to: SocketAddr,
-    trace: Trace,
+    trace: ConnectionTrace,
     task: AbortHandle,
 }
 
@@ -116,7 +116,7 @@
     transport: Transport,
     clock: Clock,
     inputs: mpsc::UnboundedSender<Input>,
-    complaints: Arc<Complaints>,
+    complaints: Arc<RateLimitedLog>,
 }
 
 impl Pods {
@@ -145,18 +145,18 @@
         let (clock, inputs, free) = (self.clock, self.inputs.clone(), self.free.clone());
         let (complaints, keeping) = (self.complaints.clone(), self.keeping.clone());
         let task = tokio::spawn(async move {
-            let (kept, begun) = (lane.trace.stands(), clock.now());
+            let (kept, begun) = (lane.trace.is_open(), clock.now());
             let (outcome, clean) = carry_out(&lane, &call, to, wait, clock, &complaints).await;
             if kept {
                 // It broke though nothing had come since the message went out.
-                let broke = outcome.ending == Ending::Reset && lane.trace.came_at() < begun;
+                let broke = outcome.ending == Ending::Reset && lane.trace.last_received_at() < begun;
                 keeping.lock().expect("never held while panicking").note(broke);
             }
             if !clean {
-                lane.trace.cut();
+                lane.trace.shut_down();
             }
             let _ = inputs.send(Input::Ended(id, outcome));
-            if lane.trace.fit() {
+            if lane.trace.is_reusable() {
                 let lane = Lane { free_since: Instant::now(), ..lane };
                 free.lock().expect("never held while panicking").entry(to).or_default().push(lane);
             }
@@ -170,14 +170,14 @@
         let mut free = self.free.lock().expect("never held while panicking");
         let keeps = self.keeping.lock().expect("never held while panicking").pays();
         if let Some(lanes) = free.get_mut(&to) {
-            lanes.retain(|lane| keeps && lane.trace.fit());
+            lanes.retain(|lane| keeps && lane.trace.is_reusable());
             let rested = lanes.iter().rposition(|lane| lane.free_since.elapsed() >= REST);
             if let Some(lane) = rested.map(|at| lanes.remove(at)).or_else(|| lanes.pop()) {
                 return Some(lane);
             }
         }
         if Arc::strong_count(&self.lanes) > self.lanes_max {
-            free.values_mut().for_each(|lanes| lanes.retain(|lane| lane.trace.fit()));
+            free.values_mut().for_each(|lanes| lanes.retain(|lane| lane.trace.is_reusable()));
             free.retain(|_, lanes| !lanes.is_empty());
             let oldest = free.iter().filter_map(|(at, lanes)| Some((lanes.first()?.free_since, *at))).min();
             match oldest {
@@ -187,7 +187,7 @@
             }
         }
         drop(free);
-        let trace = Trace::default();
+        let trace = ConnectionTrace::default();
         let within = duration(self.transport.connect_timeout);
         let dial = Dial { to, trace: trace.clone(), clock: self.clock, within };
         let client = Client::builder(TokioExecutor::new())
@@ -195,7 +195,7 @@
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(duration(self.transport.idle_close.part(IDLE_SHARE)))
-            .http1_max_buf_size(HEAD_MAX)
+            .http1_max_buf_size(MAX_HEAD_BYTES)
             .build(dial);
         Some(Lane { client, trace, free_since: Instant::now(), _counted: self.lanes.clone() })
     }
@@ -203,7 +203,7 @@
     /// Its connection is cut before this returns.
     pub fn give_up(&mut self, id: DispatchId) {
         if let Some(out) = self.out.remove(&id) {
-            out.trace.cut();
+            out.trace.shut_down();
             out.task.abort();
         }
     }
@@ -221,21 +221,21 @@
 
 /// How it ended, and whether the connection showed nothing but one whole answer.
 async fn carry_out(
-    lane: &Lane, call: &Call, to: SocketAddr, wait: Tenths, clock: Clock, complaints: &Complaints,
+    lane: &Lane, call: &Call, to: SocketAddr, wait: Tenths, clock: Clock, complaints: &RateLimitedLog,
 ) -> (Outcome, bool) {
-    lane.trace.begins(call.body.len());
+    lane.trace.begin_message(call.body.len());
     let mut reply = Reply::default();
     let (mut ending, mut in_flight, mut clean, mut absent) = (Ending::Reset, None, false, false);
     match lane.client.request(message(call, to, wait)).await {
         // Only what the connection itself showed proves that it never ran.
-        Err(_) if !lane.trace.whole() => ending = Ending::NoConnection,
+        Err(_) if !lane.trace.is_message_written() => ending = Ending::NoConnection,
         Err(_) => {}
         Ok(answer) => {
             let (head, body) = answer.into_parts();
             if let Some(load) = head.headers.get(LOAD) {
                 in_flight = reported_in_flight(load.to_str().unwrap_or_default());
                 if in_flight.is_none() {
-                    complaints.say(format_args!("pods: {to}: load report {load:?}"));
+                    complaints.warn(format_args!("pods: {to}: load report {load:?}"));
                 }
             }
             // Without a length only the end of the connection ends it, and so does whatever cuts it short.
@@ -251,7 +251,7 @@
     }
     // What the pod said came with its bytes; the end of a connection has no bytes of its own.
     let said = matches!(ending, Ending::Succeeded | Ending::Error | Ending::Full);
-    let at = if said { lane.trace.came_at() } else { clock.now() };
+    let at = if said { lane.trace.last_received_at() } else { clock.now() };
     (Outcome { ending, at, in_flight, reply, absent }, clean)
 }
 
--- a/crates/stagepond-sidecar/src/stream.rs
+++ b/crates/stagepond-sidecar/src/stream.rs
@@ -19,14 +19,14 @@
 use tokio_util::io::StreamReader;
 
 /// For a connection to come up and an answer to begin: both ends are near, and a next try follows.
-pub const OPEN_WITHIN: Duration = Duration::from_millis(1000);
+pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1000);
 /// The most lines of one kind that bad input may put into the log.
 const COMPLAIN_EVERY: Duration = Duration::from_secs(1);
 
 /// A client without a pool: what it opens is used once.
 pub fn client() -> Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
-    connector.set_connect_timeout(Some(OPEN_WITHIN));
+    connector.set_connect_timeout(Some(OPEN_TIMEOUT));
     connector.set_nodelay(true);
     Client::builder(TokioExecutor::new())
         .pool_max_idle_per_host(0)
@@ -34,11 +34,11 @@
         .build(connector)
 }
 
-pub struct Lines(FramedRead<Box<dyn AsyncRead + Send + Unpin>, LinesCodec>);
+pub struct LineStream(FramedRead<Box<dyn AsyncRead + Send + Unpin>, LinesCodec>);
 
-pub async fn open(address: SocketAddr, target: &str, line_max: usize) -> Result<Lines> {
+pub async fn open(address: SocketAddr, target: &str, line_max: usize) -> Result<LineStream> {
     let get = Request::get(format!("http://{address}{target}")).body(Full::default())?;
-    let answer = tokio::time::timeout(OPEN_WITHIN, client().request(get)).await;
+    let answer = tokio::time::timeout(OPEN_TIMEOUT, client().request(get)).await;
     let answer = answer.context("no answer")??;
     if answer.status() != StatusCode::OK {
         bail!("answered {}", answer.status());
@@ -46,10 +46,10 @@
     let frames = BodyStream::new(answer.into_body().map_err(std::io::Error::other));
     let data = frames.try_filter_map(|frame| std::future::ready(Ok(frame.into_data().ok())));
     let reader: Box<dyn AsyncRead + Send + Unpin> = Box::new(StreamReader::new(Box::pin(data)));
-    Ok(Lines(FramedRead::new(reader, LinesCodec::new_with_max_length(line_max))))
+    Ok(LineStream(FramedRead::new(reader, LinesCodec::new_with_max_length(line_max))))
 }
 
-impl Lines {
+impl LineStream {
     pub async fn next(&mut self, silence: Duration) -> Result<String> {
         let line = tokio::time::timeout(silence, self.0.next()).await.context("silent for too long")?;
         Ok(line.ok_or_else(|| anyhow!("the connection ended"))??)
@@ -58,10 +58,10 @@
 
 /// Logs bad input at a bounded rate, and then how much was left out.
 #[derive(Default)]
-pub struct Complaints(Mutex<(Option<Instant>, u64)>);
+pub struct RateLimitedLog(Mutex<(Option<Instant>, u64)>);
 
-impl Complaints {
-    pub fn say(&self, what: impl Display) {
+impl RateLimitedLog {
+    pub fn warn(&self, what: impl Display) {
         let mut state = self.0.lock().expect("never held while panicking");
         if state.0.is_some_and(|last| last.elapsed() < COMPLAIN_EVERY) {
             state.1 += 1;
