--- a/crates/stagepond-sidecar/src/stream.rs
+++ b/crates/stagepond-sidecar/src/stream.rs
@@ -1,6 +1,6 @@
-//! Answers that stay open, read line by line: what the watch on discovery and the platform's stream share.
-//! It owns how such a connection is opened and when it counts as silent; it must never know what a line
-//! means.
+//! HTTP responses that stay open and are read line by line, as the watch on discovery and the platform's
+//! event stream are. This module opens such a response and detects when it has gone silent; what a line means
+//! is for the caller to decide. It also has the rate-limited log of bad input.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -18,12 +18,13 @@
 use tokio_util::codec::{FramedRead, LinesCodec};
 use tokio_util::io::StreamReader;
 
-/// For a connection to come up and an answer to begin: both ends are near, and a next try follows.
+/// Time limit for a connection to be established, and for the head of a response to arrive. Both ends are
+/// close to each other, and a failure is followed by another attempt.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The most lines of one kind that bad input may put into the log.
-const COMPLAIN_EVERY: Duration = Duration::from_secs(1);
+/// Shortest time between two lines that one [`RateLimitedLog`] writes.
+const MIN_WARNING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A client without a pool: what it opens is used once.
+/// Creates an HTTP client without a connection pool, as each connection serves a single request.
 pub fn client() -> Client<HttpConnector, Full<Bytes>> {
     let mut connector = HttpConnector::new();
     connector.set_connect_timeout(Some(OPEN_TIMEOUT));
@@ -34,42 +35,62 @@
         .build(connector)
 }
 
+/// The lines of a response body.
 pub struct LineStream(FramedRead<Box<dyn AsyncRead + Send + Unpin>, LinesCodec>);
 
-pub async fn open(address: SocketAddr, target: &str, line_max: usize) -> Result<LineStream> {
-    let get = Request::get(format!("http://{address}{target}")).body(Full::default())?;
-    let answer = tokio::time::timeout(OPEN_TIMEOUT, client().request(get)).await;
-    let answer = answer.context("no answer")??;
-    if answer.status() != StatusCode::OK {
-        bail!("answered {}", answer.status());
+/// Sends a GET request and returns the lines of its response; a line has at most `max_line_bytes` bytes.
+///
+/// # Errors
+///
+/// Fails if no response begins within [`OPEN_TIMEOUT`] or its status is not 200.
+pub async fn open(address: SocketAddr, target: &str, max_line_bytes: usize) -> Result<LineStream> {
+    let request = Request::get(format!("http://{address}{target}")).body(Full::default())?;
+    let response = tokio::time::timeout(OPEN_TIMEOUT, client().request(request)).await;
+    let response = response.context("no response in time")??;
+    if response.status() != StatusCode::OK {
+        bail!("unexpected response status {}", response.status());
     }
-    let frames = BodyStream::new(answer.into_body().map_err(std::io::Error::other));
+    let frames = BodyStream::new(response.into_body().map_err(std::io::Error::other));
     let data = frames.try_filter_map(|frame| std::future::ready(Ok(frame.into_data().ok())));
     let reader: Box<dyn AsyncRead + Send + Unpin> = Box::new(StreamReader::new(Box::pin(data)));
-    Ok(LineStream(FramedRead::new(reader, LinesCodec::new_with_max_length(line_max))))
+    Ok(LineStream(FramedRead::new(reader, LinesCodec::new_with_max_length(max_line_bytes))))
 }
 
 impl LineStream {
-    pub async fn next(&mut self, silence: Duration) -> Result<String> {
-        let line = tokio::time::timeout(silence, self.0.next()).await.context("silent for too long")?;
+    /// Waits for the next line.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no line arrives within `max_silence`, if the connection ends or breaks, or if the line is too
+    /// long or not UTF-8.
+    pub async fn next(&mut self, max_silence: Duration) -> Result<String> {
+        let line = tokio::time::timeout(max_silence, self.0.next()).await.context("silent for too long")?;
         Ok(line.ok_or_else(|| anyhow!("the connection ended"))??)
     }
 }
 
-/// Logs bad input at a bounded rate, and then how much was left out.
+/// Logs warnings about bad input, at most one a second. The field `left_out` of a line counts the warnings
+/// that were suppressed since the line before.
 #[derive(Default)]
-pub struct RateLimitedLog(Mutex<(Option<Instant>, u64)>);
+pub struct RateLimitedLog(Mutex<RateLimitState>);
+
+#[derive(Default)]
+struct RateLimitState {
+    last_warning: Option<Instant>,
+    suppressed: u64,
+}
 
 impl RateLimitedLog {
-    pub fn warn(&self, what: impl Display) {
+    /// Logs a warning, or counts it if the last line is less than a second old.
+    pub fn warn(&self, warning: impl Display) {
         let mut state = self.0.lock().expect("never held while panicking");
-        if state.0.is_some_and(|last| last.elapsed() < COMPLAIN_EVERY) {
-            state.1 += 1;
+        if state.last_warning.is_some_and(|last| last.elapsed() < MIN_WARNING_INTERVAL) {
+            state.suppressed += 1;
             return;
         }
-        let left_out = std::mem::take(&mut state.1);
-        state.0 = Some(Instant::now());
+        let left_out = std::mem::take(&mut state.suppressed);
+        state.last_warning = Some(Instant::now());
         drop(state);
-        tracing::warn!(left_out, "{what}");
+        tracing::warn!(left_out, "{warning}");
     }
 }
