--- a/crates/stagepond-sidecar/src/event_loop.rs
+++ b/crates/stagepond-sidecar/src/event_loop.rs
@@ -1,6 +1,7 @@
-//! The one loop: takes inputs, gives them to the reducer, carries out the effects it asks for, keeps its
-//! next due time. It owns the channels and the parts on sockets; it must never hold state of its own about
-//! invocations, pods or builds.
+//! The event loop of the sidecar: passes inputs to the reducer, performs the effects that it returns and
+//! wakes it when its next timer is due.
+//!
+//! It owns the channels and the socket tasks. All state about invocations, pods and builds is in the reducer.
 
 use std::sync::Arc;
 
@@ -22,75 +23,102 @@
 use crate::reducer::{Reducer, Switched};
 use crate::verifying::{Told, Verifying};
 
-/// Descriptors for all but clients and pods: listener, datagrams, discovery, platform, votes, the runtime's
-/// own, and a few on their way out.
-const SPARE_SOCKETS: usize = 32;
-/// An invocation has one client and mostly one dispatch out; but clients also connect that have nothing to
-/// send, or have been answered and stay.
-const FRONT_SHARE: f64 = 0.58;
-/// What all clients may hold together, with half a message each.
-const FRONT_MEMORY: f64 = 0.4;
-/// News that wait for the loop; beyond it their senders wait.
-const NEWS_QUEUE: usize = 64;
-/// A list passes three tasks from its socket to this loop: one turn of the runtime for each.
-const TURNS: usize = 3;
+/// File descriptors reserved for everything but clients and pods: the listener, the datagram socket,
+/// discovery, the platform's stream, votes, the runtime's own descriptors and a few that are being closed.
+const RESERVED_SOCKETS: usize = 32;
+/// Share of the other descriptors that clients get; pods get the rest. An invocation has one client and
+/// mostly one dispatch in progress, but some clients connect without sending anything or stay connected after
+/// their answer.
+const CLIENT_SOCKET_SHARE: f64 = 0.58;
+/// Share of the memory limit for all client connections, which hold half a message each on average. The limit
+/// on their number counts a whole message for each.
+const CLIENT_MEMORY_SHARE: f64 = 0.4;
+/// Capacity of the channel for inputs other than those of clients and pods; its senders wait while it is
+/// full.
+const CONTROL_QUEUE_CAPACITY: usize = 64;
+/// How often the loop yields to the runtime before it collects inputs: a pod list passes through three tasks
+/// from its socket to this loop, and each needs one turn.
+const YIELDS_BEFORE_COLLECTING: usize = 3;
 
+/// Runs the sidecar until it has shut down after SIGTERM or SIGINT. `reread` reads the configuration again
+/// and is called after a signal on `hangups`.
+///
+/// # Errors
+///
+/// Fails if a signal handler or socket can't be set up, or if the stored leadership state or the trusted TUF
+/// metadata can't be used.
 pub async fn serve(launch: Launch, reread: impl Fn() -> Result<Changes>, mut hangups: Signal) -> Result<()> {
     let clock = Clock::start();
-    let mut leave = signal(SignalKind::terminate()).context("SIGTERM")?;
+    let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
-    let (inputs, mut taken) = mpsc::unbounded_channel();
-    let (news, mut told) = mpsc::channel(NEWS_QUEUE);
-    let (names, me) = (Arc::new(launch.names), launch.facts.me);
+    // Inputs about single invocations come on an unbounded channel, all others on a bounded one.
+    let (invocation_sender, mut invocation_inputs) = mpsc::unbounded_channel();
+    let (control_sender, mut control_inputs) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
+    let names = Arc::new(launch.names);
+    let me = launch.facts.me;
 
-    let shared = launch.transport.sockets - SPARE_SOCKETS.min(launch.transport.sockets / 2);
-    let clients_max = (shared as f64 * FRONT_SHARE) as usize;
-    let held = (launch.transport.memory as f64 * FRONT_MEMORY) as usize / frontend::MAX_CONNECTION_BYTES;
-    let clients_max = clients_max.min(held);
+    let shared_sockets = launch.transport.sockets - RESERVED_SOCKETS.min(launch.transport.sockets / 2);
+    let clients_max = (shared_sockets as f64 * CLIENT_SOCKET_SHARE) as usize;
+    let clients_in_memory =
+        (launch.transport.memory as f64 * CLIENT_MEMORY_SHARE) as usize / frontend::MAX_CONNECTION_BYTES;
+    let clients_max = clients_max.min(clients_in_memory);
     let repeats = launch.facts.operations.iter().map(|o| o.repeat);
     let operations = Operations(names.operations.iter().cloned().zip(repeats).collect());
-    let front = Frontend::new(operations, clients_max, clock, inputs.clone());
-    let mut pods = Pods::new(shared - clients_max, launch.transport, clock, inputs.clone());
+    let frontend = Frontend::new(operations, clients_max, clock, invocation_sender.clone());
+    let mut pods =
+        Pods::new(shared_sockets - clients_max, launch.transport, clock, invocation_sender.clone());
     let peers = match launch.peer_listen {
         Some(at) => Some(PeerSocket::bind(at, launch.peers, launch.peers_all).await?),
         None => None,
     };
     if let Some(peers) = &peers {
-        tokio::spawn(peers.receive(me, news.clone()));
+        tokio::spawn(peers.receive(me, control_sender.clone()));
     }
-    let whole = Arc::new(Notify::new());
+    let snapshot_wanted = Arc::new(Notify::new());
     let index = launch.known.index;
-    let (discovery, place) = watch::channel(launch.places.discovery);
-    tokio::spawn(discovery::watch(place, index, names.clone(), whole.clone(), news.clone()));
-    let (votes, wanted) = mpsc::unbounded_channel();
+    let (discovery_address, address) = watch::channel(launch.places.discovery);
+    tokio::spawn(discovery::watch(
+        address,
+        index,
+        names.clone(),
+        snapshot_wanted.clone(),
+        control_sender.clone(),
+    ));
+    let (vote_sender, vote_requests) = mpsc::unbounded_channel();
     let vote_wait = duration(launch.facts.vote_wait);
-    let (platform, place) = watch::channel(launch.places.platform);
-    tokio::spawn(platform::follow_rollout(place.clone(), names.clone(), news.clone()));
-    tokio::spawn(platform::cast_votes(place, wanted, news.clone(), clock));
-    let (keep, kept) = mpsc::unbounded_channel();
+    let (platform_address, address) = watch::channel(launch.places.platform);
+    tokio::spawn(platform::follow_rollout(address.clone(), names.clone(), control_sender.clone()));
+    tokio::spawn(platform::cast_votes(address, vote_requests, control_sender.clone(), clock));
+    let (promise_sender, promises_to_write) = mpsc::unbounded_channel();
     let leading = match &launch.operators.leadership {
         Some(asked) => {
             let seat = Seat(me.0 as u16);
             let promises =
                 asked.state.as_deref().map(|path| keeping::read(path, seat)).transpose()?.flatten();
             if let Some(path) = &asked.state {
-                tokio::spawn(keeping::keep(path.clone(), kept, news.clone()));
+                tokio::spawn(keeping::keep(path.clone(), promises_to_write, control_sender.clone()));
             }
             Some(Leading::new(clock.now(), me, launch.seed, asked, promises))
         }
         None => None,
     };
-    let at = front.listen(launch.listen)?;
-    let datagrams =
+    let client_address = frontend.listen(launch.listen)?;
+    let datagram_address =
         peers.as_ref().and_then(PeerSocket::local_address).map_or("none".into(), |at| at.to_string());
-    tracing::info!(name = launch.name, clients = %at, %datagrams, clients_max, "listening");
+    tracing::info!(
+        name = launch.name,
+        clients = %client_address,
+        datagrams = %datagram_address,
+        clients_max,
+        "listening"
+    );
     launch.missing.iter().for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
 
-    let (trust, trusted) = mpsc::unbounded_channel();
+    let (trusted_sender, trusted_to_write) = mpsc::unbounded_channel();
     let verifying = match launch.operators.verified {
         Some(asked) => {
             if let Some(path) = asked.state {
-                tokio::spawn(keeping::keep_trusted(path, trusted));
+                tokio::spawn(keeping::keep_trusted(path, trusted_to_write));
             }
             Some(Verifying::new(clock.now(), asked.asked, launch.seed).context("tuf")?)
         }
@@ -110,38 +138,38 @@
     loop {
         for effect in effects.drain(..) {
             if tracing::enabled!(tracing::Level::DEBUG) {
-                follow_effect(&effect);
+                trace_effect(&effect);
             }
             match effect {
                 Effect::Dispatch { id, call, to, wait } => pods.dispatch(id, call, to, wait),
                 Effect::GiveUp(id) => pods.give_up(id),
-                Effect::Answer(ticket, answer) => front.send_answer(ticket, answer),
+                Effect::Answer(ticket, answer) => frontend.send_answer(ticket, answer),
                 Effect::DropIdle(to) => pods.drop_idle(to),
                 Effect::Tell { to, words } => drop(peers.as_ref().map(|peers| peers.send(to, &words))),
                 Effect::Vote { build, stage, verdict, mandate } => {
                     let until = tokio::time::Instant::now() + vote_wait;
-                    let _ = votes.send(VoteRequest { build, stage, verdict, until, mandate });
+                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, until, mandate });
                 }
-                Effect::Keep { number, promises } => drop(keep.send((number, promises))),
-                Effect::KeepTrusted(kept) => drop(trust.send(kept)),
-                Effect::Told(told) => verified(told),
-                Effect::Note(note) => noted(note, clock.now()),
-                Effect::WholeList => whole.notify_one(),
+                Effect::Keep { number, promises } => drop(promise_sender.send((number, promises))),
+                Effect::KeepTrusted(kept) => drop(trusted_sender.send(kept)),
+                Effect::Told(event) => log_verification_event(event),
+                Effect::Note(event) => log_leadership_event(event, clock.now()),
+                Effect::WholeList => snapshot_wanted.notify_one(),
                 Effect::Reread => batch.push(Input::Reread(reread().map_err(|error| format!("{error:#}")))),
-                Effect::Discovery(at) => drop(discovery.send_replace(at)),
-                Effect::Platform(at) => drop(platform.send_replace(at)),
-                Effect::CloseListener => front.close_listener(),
-                Effect::Log(words) => tracing::info!("{words}"),
+                Effect::Discovery(address) => drop(discovery_address.send_replace(address)),
+                Effect::Platform(address) => drop(platform_address.send_replace(address)),
+                Effect::CloseListener => frontend.close_listener(),
+                Effect::Log(text) => tracing::info!("{text}"),
                 Effect::Enter(state) => {
                     tracing::info!(?state, "phase");
                     match state {
                         State::Starting => {}
-                        State::Ready => front.set_ready(true),
+                        State::Ready => frontend.set_ready(true),
                         State::Leaving => {
-                            front.set_ready(false);
-                            front.begin_leaving();
+                            frontend.set_ready(false);
+                            frontend.begin_leaving();
                         }
-                        State::Draining => front.close_connections(),
+                        State::Draining => frontend.close_connections(),
                         State::Stopped => return Ok(()),
                     }
                 }
@@ -152,22 +180,23 @@
             biased;
             () = std::future::ready(()), if !batch.is_empty() => {}
             _ = hangups.recv() => batch.push(Input::Hangup),
-            _ = leave.recv() => batch.push(Input::Leave),
+            _ = terminate.recv() => batch.push(Input::Leave),
             _ = interrupt.recv() => batch.push(Input::Leave),
-            Some(input) = told.recv() => batch.push(input),
-            Some(input) = taken.recv() => batch.push(input),
+            Some(input) = control_inputs.recv() => batch.push(input),
+            Some(input) = invocation_inputs.recv() => batch.push(input),
             () = tokio::time::sleep_until(due) => {}
         }
-        // After a stop of this process everything waits at once: what came of lists is read before the rest.
-        for _ in 0..TURNS {
+        // After this process was paused all inputs are waiting at once. Pod lists and other control inputs
+        // are applied before those of invocations, which must not be dispatched by an outdated list.
+        for _ in 0..YIELDS_BEFORE_COLLECTING {
             tokio::task::yield_now().await;
         }
         let first = batch.len();
-        while let Ok(input) = told.try_recv() {
+        while let Ok(input) = control_inputs.try_recv() {
             batch.push(input);
         }
         batch.rotate_left(first);
-        while let Ok(input) = taken.try_recv() {
+        while let Ok(input) = invocation_inputs.try_recv() {
             batch.push(input);
         }
         batch.push(Input::Tick);
@@ -176,18 +205,26 @@
                 pods.over(*id);
             }
             if tracing::enabled!(tracing::Level::DEBUG) {
-                follow_input(&input);
+                trace_input(&input);
             }
             effects.extend(reducer.apply(clock.now(), input));
         }
     }
 }
 
-/// An invocation's way through this sidecar, at level debug alone: its id, its ticket, its dispatches.
-fn follow_input(input: &Input) {
+/// Logs an input that concerns an invocation, at debug level. Together with [`trace_effect`] it shows the
+/// path of an invocation through this sidecar by its id, its ticket and its dispatches.
+fn trace_input(input: &Input) {
     match input {
         Input::Arrived { ticket, id, op, until, .. } => {
-            tracing::debug!(event = "arrived", id = %id.0, ticket = ticket.0, op = op.0, until = until.0, "inv");
+            tracing::debug!(
+                event = "arrived",
+                id = %id.0,
+                ticket = ticket.0,
+                op = op.0,
+                until = until.0,
+                "inv"
+            );
         }
         Input::Left(ticket) => tracing::debug!(event = "left", ticket = ticket.0, "inv"),
         Input::Ended(id, Outcome { ending, at, in_flight, .. }) => {
@@ -197,15 +234,13 @@
     }
 }
 
-fn follow_effect(effect: &Effect) {
+/// Logs an effect that concerns an invocation, at debug level.
+fn trace_effect(effect: &Effect) {
     match effect {
         Effect::Dispatch { id, call, to, wait } => {
-            let inv = call
-                .headers
-                .get(frontend::REQUEST_ID_HEADER)
-                .and_then(|id| id.to_str().ok())
-                .unwrap_or_default();
-            tracing::debug!(event = "dispatch", id = inv, dispatch = id.0, %to, wait = wait.0, "inv");
+            let request_id = call.headers.get(frontend::REQUEST_ID_HEADER);
+            let request_id = request_id.and_then(|id| id.to_str().ok()).unwrap_or_default();
+            tracing::debug!(event = "dispatch", id = request_id, dispatch = id.0, %to, wait = wait.0, "inv");
         }
         Effect::GiveUp(id) => tracing::debug!(event = "given_up", dispatch = id.0, "inv"),
         Effect::Answer(ticket, answer) => {
@@ -222,15 +257,15 @@
     }
 }
 
-/// Decisions by name, so that a program can read them: `docs/leadership.md` lists them.
-fn noted(note: Note, now: Tenths) {
+/// Logs a leadership event. The names and fields are for programs to read; `docs/leadership.md` lists them.
+fn log_leadership_event(event: Note, now: Tenths) {
     let at = now.0;
-    match note {
+    match event {
         Note::Leads { term, until } => {
-            tracing::info!(event = "leads", at, term = term.0, until = until.0, "leads")
+            tracing::info!(event = "leads", at, term = term.0, until = until.0, "became leader")
         }
         Note::SteppedDown { term, why } => {
-            tracing::info!(event = "stepped_down", at, term = term.0, why, "leads no longer")
+            tracing::info!(event = "stepped_down", at, term = term.0, why, "stepped down as leader")
         }
         Note::InForce { term, number, holder, decree } => {
             tracing::info!(
@@ -239,24 +274,29 @@
                 number = number.0,
                 holder = holder.0,
                 decree,
-                "a decree"
+                "decree committed"
             );
         }
         Note::CaughtUp { number } => {
-            tracing::info!(event = "caught_up", number = number.0, "has all that is in force")
+            tracing::info!(event = "caught_up", number = number.0, "snapshot of the log installed")
         }
-        Note::Founded { term } => tracing::warn!(event = "founded", term = term.0, "an era begins"),
-        Note::Refused { decree, why } => tracing::debug!(event = "refused", decree, why, "not decided"),
+        Note::Founded { term } => {
+            tracing::warn!(event = "founded", term = term.0, "new era bootstrapped by the whole pool")
+        }
+        Note::Refused { decree, why } => tracing::debug!(event = "refused", decree, why, "decree rejected"),
         Note::Dropped { counts } => {
-            tracing::warn!(event = "datagrams_dropped", counts, "datagrams not taken")
+            tracing::warn!(event = "datagrams_dropped", counts, "leadership datagrams dropped")
+        }
+        Note::Member { seat, health } => {
+            tracing::info!(event = "member", seat = seat.0, ?health, "health of a member changed")
         }
-        Note::Member { seat, health } => tracing::info!(event = "member", seat = seat.0, ?health, "member"),
     }
 }
 
-fn verified(told: Told) {
-    match told {
-        Told::Trusted { versions } => tracing::info!(event = "trusted", ?versions, "new metadata"),
+/// Logs an event of the verification of signed content; `docs/tuf.md` lists the events.
+fn log_verification_event(event: Told) {
+    match event {
+        Told::Trusted { versions } => tracing::info!(event = "trusted", ?versions, "new metadata trusted"),
         Told::Refused { kind, why, again_in } => {
             tracing::warn!(event = "metadata_refused", kind, again_in_ms = again_in.0 / 10, "{why}");
         }
@@ -264,7 +304,7 @@
             tracing::error!(
                 event = "goes_on_ended",
                 since,
-                "the trusted metadata have ended and are used all the same"
+                "the trusted metadata have expired and are still in use"
             );
         }
     }
