--- a/crates/stagepond-sidecar/src/event_loop.rs
+++ b/crates/stagepond-sidecar/src/event_loop.rs
@@ -55,15 +55,15 @@
     let (invocation_sender, mut invocation_inputs) = mpsc::unbounded_channel();
     let (control_sender, mut control_inputs) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
     let names = Arc::new(launch.names);
-    let me = launch.facts.me;
+    let own_peer = launch.facts.own_peer;
 
     let shared_sockets = launch.transport.sockets - RESERVED_SOCKETS.min(launch.transport.sockets / 2);
     let clients_max = (shared_sockets as f64 * CLIENT_SOCKET_SHARE) as usize;
     let clients_in_memory =
         (launch.transport.memory as f64 * CLIENT_MEMORY_SHARE) as usize / frontend::MAX_CONNECTION_BYTES;
     let clients_max = clients_max.min(clients_in_memory);
-    let repeats = launch.facts.operations.iter().map(|o| o.repeat);
-    let operations = Operations(names.operations.iter().cloned().zip(repeats).collect());
+    let retry_safety = launch.facts.operations.iter().map(|o| o.retry_safety);
+    let operations = Operations(names.operations.iter().cloned().zip(retry_safety).collect());
     let frontend = Frontend::new(operations, clients_max, clock, invocation_sender.clone());
     let mut pods =
         Pods::new(shared_sockets - clients_max, launch.transport, clock, invocation_sender.clone());
@@ -72,7 +72,7 @@
         None => None,
     };
     if let Some(peers) = &peers {
-        tokio::spawn(peers.receive(me, control_sender.clone()));
+        tokio::spawn(peers.receive(own_peer, control_sender.clone()));
     }
     let snapshot_wanted = Arc::new(Notify::new());
     let index = launch.known.index;
@@ -85,20 +85,20 @@
         control_sender.clone(),
     ));
     let (vote_sender, vote_requests) = mpsc::unbounded_channel();
-    let vote_wait = duration(launch.facts.vote_wait);
+    let vote_timeout = duration(launch.facts.vote_timeout);
     let (platform_address, address) = watch::channel(launch.places.platform);
     tokio::spawn(platform::follow_rollout(address.clone(), names.clone(), control_sender.clone()));
     tokio::spawn(platform::cast_votes(address, vote_requests, control_sender.clone(), clock));
     let (promise_sender, promises_to_write) = mpsc::unbounded_channel();
     let leading = match &launch.operators.leadership {
         Some(asked) => {
-            let seat = Seat(me.0 as u16);
+            let seat = Seat(own_peer.0 as u16);
             let promises =
                 asked.state.as_deref().map(|path| keeping::read(path, seat)).transpose()?.flatten();
             if let Some(path) = &asked.state {
                 tokio::spawn(keeping::keep(path.clone(), promises_to_write, control_sender.clone()));
             }
-            Some(Leading::new(clock.now(), me, launch.seed, asked, promises))
+            Some(Leading::new(clock.now(), own_peer, launch.seed, asked, promises))
         }
         None => None,
     };
@@ -147,8 +147,8 @@
                 Effect::DropIdle(to) => pods.drop_idle(to),
                 Effect::Tell { to, words } => drop(peers.as_ref().map(|peers| peers.send(to, &words))),
                 Effect::Vote { build, stage, verdict, mandate } => {
-                    let until = tokio::time::Instant::now() + vote_wait;
-                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, until, mandate });
+                    let until = tokio::time::Instant::now() + vote_timeout;
+                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, until, lease: mandate });
                 }
                 Effect::Keep { number, promises } => drop(promise_sender.send((number, promises))),
                 Effect::KeepTrusted(kept) => drop(trusted_sender.send(kept)),
@@ -274,7 +274,7 @@
                 number = number.0,
                 holder = holder.0,
                 decree,
-                "decree committed"
+                "log entry committed"
             );
         }
         Note::CaughtUp { number } => {
@@ -283,7 +283,7 @@
         Note::Founded { term } => {
             tracing::warn!(event = "founded", term = term.0, "new era bootstrapped by the whole pool")
         }
-        Note::Refused { decree, why } => tracing::debug!(event = "refused", decree, why, "decree rejected"),
+        Note::Refused { decree, why } => tracing::debug!(event = "refused", decree, why, "command rejected"),
         Note::Dropped { counts } => {
             tracing::warn!(event = "datagrams_dropped", counts, "leadership datagrams dropped")
         }
--- a/crates/stagepond-sidecar/src/frontend.rs
+++ b/crates/stagepond-sidecar/src/frontend.rs
@@ -23,7 +23,7 @@
 use hyper::{HeaderMap, Method, StatusCode, Uri};
 use hyper_util::service::TowerToHyperService;
 use nix::sys::socket::{setsockopt, sockopt};
-use stagepond::host::{Op, Repeat, Tenths};
+use stagepond::host::{Op, RetrySafety, Tenths};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::{mpsc, oneshot, Notify};
 
@@ -84,7 +84,7 @@
 
 /// The configured operations in the order of [`Op`]: the name, which is the first path segment, and how an
 /// invocation of it may be repeated.
-pub struct Operations(pub Vec<(String, Repeat)>);
+pub struct Operations(pub Vec<(String, RetrySafety)>);
 
 /// State of one client connection.
 struct ClientConnection {
@@ -495,13 +495,13 @@
             MAX_TIME_LIMIT.0 / 10
         ))
     })?;
-    let repeat = operations.0[op].1;
-    if (repeat == Repeat::Idempotent) != (method == Method::GET)
-        || repeat != Repeat::Idempotent && method != Method::POST
+    let retry_safety = operations.0[op].1;
+    if (retry_safety == RetrySafety::Idempotent) != (method == Method::GET)
+        || retry_safety != RetrySafety::Idempotent && method != Method::POST
     {
         return Err(bad_request("the method must be GET for an idempotent operation and POST for any other"));
     }
-    if repeat == Repeat::Fingerprinted && text(FINGERPRINT_HEADER).is_none() {
+    if retry_safety == RetrySafety::Fingerprinted && text(FINGERPRINT_HEADER).is_none() {
         return Err(bad_request("Idempotency-Key must be given once and not be empty"));
     }
     let length = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
--- a/crates/stagepond-sidecar/src/leading_stories.rs
+++ b/crates/stagepond-sidecar/src/leading_stories.rs
@@ -37,7 +37,7 @@
 impl Trio {
     fn begins() -> Trio {
         let story = |me: usize| {
-            let facts = Facts { me: Peer(me), sidecars: SIDECARS, peers: true, ..facts() };
+            let facts = Facts { own_peer: Peer(me), sidecar_count: SIDECARS, peer_messages: true, ..facts() };
             let leading = Leading::new(BEGIN + Tenths(me as i64), Peer(me), me as u64, &asked(), None);
             Story::led(facts, vec![row(1, 1), row(2, 1)], Some(leading))
         };
@@ -55,7 +55,7 @@
                 Effect::Vote { verdict: Some(verdict), mandate, .. } => {
                     let mandate = mandate.expect("where one leads nobody votes without leave");
                     assert!(mandate.check(self.now).is_ok());
-                    self.votes.push((of, mandate.until(), verdict));
+                    self.votes.push((of, mandate.expires_at(), verdict));
                 }
                 _ => {}
             }
@@ -83,7 +83,7 @@
     fn leaders(&self) -> Vec<usize> {
         let leads = |of: &usize| {
             let leading = self.stories[*of].reducer.leading().unwrap();
-            leading.instance().mandate(self.now).is_some()
+            leading.instance().lease(self.now).is_some()
         };
         (0..SIDECARS).filter(leads).collect()
     }
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -16,7 +16,7 @@
 use serde::Deserialize;
 use stagepond::host::*;
 use stagepond_facts::Names;
-use stagepond_leadership::mandate::Mandate;
+use stagepond_leadership::lease::LeaderLease;
 use tokio::net::TcpStream;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
@@ -57,7 +57,7 @@
                 bail!("DISPUTE: age_ms {} is not a time from 0 to 1e12", dispute.age_ms);
             }
             let pod = PodName(dispute.server.into());
-            let age = Tenths::floor(dispute.age_ms);
+            let age = Tenths::floor_ms(dispute.age_ms);
             Some(Input::Disputed { pod, op: Op(op), age })
         }
         _ => None,
@@ -136,8 +136,9 @@
     pub verdict: Option<Verdict>,
     /// When to stop waiting for the platform's answer.
     pub until: Instant,
-    /// The permission to vote, where leadership is on. It is checked just before the vote is sent.
-    pub mandate: Option<Mandate>,
+    /// The leader lease that permits the vote, where leadership is on. It is checked just before the vote is
+    /// sent.
+    pub lease: Option<LeaderLease>,
 }
 
 /// Casts votes one at a time in the order of their arrival, and reports each result as
@@ -155,7 +156,7 @@
             None => Ok(Err(Ending::NoConnection)),
         };
         let answer = answer.unwrap_or(Err(Ending::TimedOut));
-        let term = vote.mandate.map(|m| m.term().0);
+        let term = vote.lease.map(|m| m.term().0);
         tracing::info!(
             event = "voted",
             build = vote.build.0,
@@ -194,20 +195,20 @@
     let Ok((mut sender, connection)) = opened else { return Err(Ending::NoConnection) };
     // The check is repeated here because this process may have been paused or cut off since the vote was
     // decided, and may no longer lead.
-    if let Some(mandate) = &vote.mandate {
+    if let Some(lease) = &vote.lease {
         let now = clock.now();
-        if let Err(expired) = mandate.check(now) {
+        if let Err(expired) = lease.check(now) {
             tracing::warn!(
                 event = "vote_stopped",
                 build = vote.build.0,
                 stage = vote.stage,
-                term = mandate.term().0,
+                term = lease.term().0,
                 "{expired}"
             );
             return Err(Ending::NoConnection);
         }
-        let (term, holder, number) = (mandate.term().0, mandate.holder().0, mandate.number().0);
-        let (at, until) = (now.0, mandate.until().0);
+        let (term, holder, number) = (lease.term().0, lease.holder().0, lease.commit_number().0);
+        let (at, until) = (now.0, lease.expires_at().0);
         tracing::info!(
             event = "vote_cast",
             build = vote.build.0,
@@ -287,38 +288,46 @@
         assert_eq!(parse_vote_response(StatusCode::from_u16(status).unwrap(), &body.into()), Err(ending));
     }
 
-    /// A mandate from an instance that is the only voter and so becomes the leader.
-    fn mandate_from(now: Tenths) -> Mandate {
+    /// A lease from an instance that is the only voter and so becomes the leader.
+    fn lease_from(now: Tenths) -> LeaderLease {
         use stagepond_leadership::ids::{Life, Seat};
-        use stagepond_leadership::instance::{Input, Instance, Start};
+        use stagepond_leadership::instance::{Input, Instance, InstanceConfig};
         use stagepond_leadership::{bounds::Bounds, planted::Planted, seal::*};
         let (bounds, keys) = (Bounds::usual(1), Keys::new(Key::new(1, &[7; 32]).unwrap()));
         let (seat, life, planted) = (Seat(0), Life(1), Planted::default());
-        let mut instance =
-            Instance::new(Start { now, seat, life, seed: 1, bounds, keys, promises: None, planted });
+        let mut instance = Instance::new(InstanceConfig {
+            now,
+            seat,
+            life,
+            seed: 1,
+            bounds,
+            keys,
+            persisted: None,
+            planted,
+        });
         (0..100)
             .map(|n| now + Tenths::ms(100 * n))
             .find_map(|now| {
                 instance.step(now, Input::Tick);
-                instance.mandate(now)
+                instance.lease(now)
             })
             .expect("the only voter becomes the leader")
     }
 
-    /// A leader that is paused between the decree and the write of the vote, until its mandate has run out,
+    /// A leader that is paused between the commit of a vote and its write, until its lease has expired,
     /// must not send the vote when it resumes.
     #[rstest]
     #[case::in_time(true)]
     #[case::paused(false)]
     #[tokio::test]
-    async fn no_byte_of_a_vote_is_sent_after_its_mandate_expired(#[case] in_time: bool) {
+    async fn no_byte_of_a_vote_is_sent_after_its_lease_expired(#[case] in_time: bool) {
         use tokio::io::AsyncReadExt;
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let clock = Clock::start();
-        let mandate_start = if in_time { clock.now() } else { clock.now() - Tenths::ms(60_000) };
+        let lease_start = if in_time { clock.now() } else { clock.now() - Tenths::ms(60_000) };
         let (build, stage, verdict, until) = (Build(2), 0, Some(Verdict::On), Instant::now());
-        let vote = VoteRequest { build, stage, verdict, until, mandate: Some(mandate_from(mandate_start)) };
+        let vote = VoteRequest { build, stage, verdict, until, lease: Some(lease_from(lease_start)) };
         let cast = tokio::spawn(async move { cast_vote(address, &vote, clock).await });
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = [0; 1];
