--- a/crates/stagepond-sidecar/src/event_loop.rs
+++ b/crates/stagepond-sidecar/src/event_loop.rs
@@ -19,8 +19,8 @@
 use crate::messages::*;
 use crate::peers::PeerSocket;
 use crate::platform::{self, VoteRequest};
-use crate::pods::Pods;
-use crate::reducer::{Reducer, Switched};
+use crate::pods::PodClient;
+use crate::reducer::{OptionalParts, Reducer};
 use crate::verifying::{Told, Verifying};
 
 /// File descriptors reserved for everything but clients and pods: the listener, the datagram socket,
@@ -47,7 +47,9 @@
 ///
 /// Fails if a signal handler or socket can't be set up, or if the stored leadership state or the trusted TUF
 /// metadata can't be used.
-pub async fn serve(launch: Launch, reread: impl Fn() -> Result<Changes>, mut hangups: Signal) -> Result<()> {
+pub async fn serve(
+    launch: Launch, reread: impl Fn() -> Result<ReloadableConfig>, mut hangups: Signal,
+) -> Result<()> {
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
@@ -66,7 +68,7 @@
     let operations = Operations(names.operations.iter().cloned().zip(retry_safety).collect());
     let frontend = Frontend::new(operations, clients_max, clock, invocation_sender.clone());
     let mut pods =
-        Pods::new(shared_sockets - clients_max, launch.transport, clock, invocation_sender.clone());
+        PodClient::new(shared_sockets - clients_max, launch.transport, clock, invocation_sender.clone());
     let peers = match launch.peer_listen {
         Some(at) => Some(PeerSocket::bind(at, launch.peers, launch.peers_all).await?),
         None => None,
@@ -85,18 +87,18 @@
         control_sender.clone(),
     ));
     let (vote_sender, vote_requests) = mpsc::unbounded_channel();
-    let vote_timeout = duration(launch.facts.vote_timeout);
+    let vote_timeout = to_std_duration(launch.facts.vote_timeout);
     let (platform_address, address) = watch::channel(launch.places.platform);
     tokio::spawn(platform::follow_rollout(address.clone(), names.clone(), control_sender.clone()));
     tokio::spawn(platform::cast_votes(address, vote_requests, control_sender.clone(), clock));
-    let (promise_sender, promises_to_write) = mpsc::unbounded_channel();
-    let leading = match &launch.operators.leadership {
+    let (raft_state_sender, raft_states_to_write) = mpsc::unbounded_channel();
+    let leadership = match &launch.operators.leadership {
         Some(asked) => {
             let seat = Seat(own_peer.0 as u16);
             let promises =
                 asked.state.as_deref().map(|path| keeping::read(path, seat)).transpose()?.flatten();
             if let Some(path) = &asked.state {
-                tokio::spawn(keeping::keep(path.clone(), promises_to_write, control_sender.clone()));
+                tokio::spawn(keeping::keep(path.clone(), raft_states_to_write, control_sender.clone()));
             }
             Some(Leading::new(clock.now(), own_peer, launch.seed, asked, promises))
         }
@@ -115,7 +117,7 @@
     launch.missing.iter().for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
 
     let (trusted_sender, trusted_to_write) = mpsc::unbounded_channel();
-    let verifying = match launch.operators.verified {
+    let verification = match launch.operators.verified {
         Some(asked) => {
             if let Some(path) = asked.state {
                 tokio::spawn(keeping::keep_trusted(path, trusted_to_write));
@@ -132,7 +134,7 @@
         launch.places,
         launch.known,
         launch.standing,
-        Switched { leading, verifying },
+        OptionalParts { leadership, verification },
     );
     let mut batch = Vec::new();
     loop {
@@ -141,26 +143,32 @@
                 trace_effect(&effect);
             }
             match effect {
-                Effect::Dispatch { id, call, to, wait } => pods.dispatch(id, call, to, wait),
-                Effect::GiveUp(id) => pods.give_up(id),
-                Effect::Answer(ticket, answer) => frontend.send_answer(ticket, answer),
-                Effect::DropIdle(to) => pods.drop_idle(to),
-                Effect::Tell { to, words } => drop(peers.as_ref().map(|peers| peers.send(to, &words))),
-                Effect::Vote { build, stage, verdict, mandate } => {
+                Effect::Dispatch { id, request, to, timeout } => pods.dispatch(id, request, to, timeout),
+                Effect::AbortDispatch(id) => pods.abort(id),
+                Effect::Answer(number, answer) => frontend.send_answer(number, answer),
+                Effect::CloseIdleConnections(to) => pods.close_idle(to),
+                Effect::SendDatagram { to, payload } => {
+                    if let Some(peers) = &peers {
+                        peers.send(to, &payload);
+                    }
+                }
+                Effect::CastVote { build, stage, verdict, lease } => {
                     let until = tokio::time::Instant::now() + vote_timeout;
-                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, until, lease: mandate });
+                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, until, lease });
+                }
+                Effect::PersistRaftState { number, state } => drop(raft_state_sender.send((number, state))),
+                Effect::PersistTrustedMetadata(metadata) => drop(trusted_sender.send(metadata)),
+                Effect::LogVerificationEvent(event) => log_verification_event(event),
+                Effect::LogLeadershipEvent(event) => log_leadership_event(event, clock.now()),
+                Effect::RequestPodSnapshot => snapshot_wanted.notify_one(),
+                Effect::ReadConfig => {
+                    batch.push(Input::ConfigRead(reread().map_err(|error| format!("{error:#}"))))
                 }
-                Effect::Keep { number, promises } => drop(promise_sender.send((number, promises))),
-                Effect::KeepTrusted(kept) => drop(trusted_sender.send(kept)),
-                Effect::Told(event) => log_verification_event(event),
-                Effect::Note(event) => log_leadership_event(event, clock.now()),
-                Effect::WholeList => snapshot_wanted.notify_one(),
-                Effect::Reread => batch.push(Input::Reread(reread().map_err(|error| format!("{error:#}")))),
-                Effect::Discovery(address) => drop(discovery_address.send_replace(address)),
-                Effect::Platform(address) => drop(platform_address.send_replace(address)),
+                Effect::SetDiscoveryAddress(address) => drop(discovery_address.send_replace(address)),
+                Effect::SetPlatformAddress(address) => drop(platform_address.send_replace(address)),
                 Effect::CloseListener => frontend.close_listener(),
                 Effect::Log(text) => tracing::info!("{text}"),
-                Effect::Enter(state) => {
+                Effect::EnterState(state) => {
                     tracing::info!(?state, "phase");
                     match state {
                         State::Starting => {}
@@ -175,13 +183,13 @@
                 }
             }
         }
-        let due = clock.instant(reducer.next_due()).into();
+        let due = clock.to_instant(reducer.next_due()).into();
         tokio::select! {
             biased;
             () = std::future::ready(()), if !batch.is_empty() => {}
-            _ = hangups.recv() => batch.push(Input::Hangup),
-            _ = terminate.recv() => batch.push(Input::Leave),
-            _ = interrupt.recv() => batch.push(Input::Leave),
+            _ = hangups.recv() => batch.push(Input::ReloadRequested),
+            _ = terminate.recv() => batch.push(Input::ShutdownRequested),
+            _ = interrupt.recv() => batch.push(Input::ShutdownRequested),
             Some(input) = control_inputs.recv() => batch.push(input),
             Some(input) = invocation_inputs.recv() => batch.push(input),
             () = tokio::time::sleep_until(due) => {}
@@ -201,8 +209,8 @@
         }
         batch.push(Input::Tick);
         for input in batch.drain(..) {
-            if let Input::Ended(id, _) = &input {
-                pods.over(*id);
+            if let Input::DispatchEnded(id, _) = &input {
+                pods.forget(*id);
             }
             if tracing::enabled!(tracing::Level::DEBUG) {
                 trace_input(&input);
@@ -213,22 +221,22 @@
 }
 
 /// Logs an input that concerns an invocation, at debug level. Together with [`trace_effect`] it shows the
-/// path of an invocation through this sidecar by its id, its ticket and its dispatches.
+/// path of an invocation through this sidecar by its id, its number (`ticket`) and its dispatches.
 fn trace_input(input: &Input) {
     match input {
-        Input::Arrived { ticket, id, op, until, .. } => {
+        Input::InvocationReceived { number, request_id, op, deadline, .. } => {
             tracing::debug!(
                 event = "arrived",
-                id = %id.0,
-                ticket = ticket.0,
+                id = %request_id.0,
+                ticket = number.0,
                 op = op.0,
-                until = until.0,
+                until = deadline.0,
                 "inv"
             );
         }
-        Input::Left(ticket) => tracing::debug!(event = "left", ticket = ticket.0, "inv"),
-        Input::Ended(id, Outcome { ending, at, in_flight, .. }) => {
-            tracing::debug!(event = "ended", dispatch = id.0, ?ending, at = at.0, in_flight, "inv");
+        Input::ClientDisconnected(number) => tracing::debug!(event = "left", ticket = number.0, "inv"),
+        Input::DispatchEnded(id, DispatchOutcome { ending, ended_at, in_flight, .. }) => {
+            tracing::debug!(event = "ended", dispatch = id.0, ?ending, at = ended_at.0, in_flight, "inv");
         }
         _ => {}
     }
@@ -237,21 +245,21 @@
 /// Logs an effect that concerns an invocation, at debug level.
 fn trace_effect(effect: &Effect) {
     match effect {
-        Effect::Dispatch { id, call, to, wait } => {
-            let request_id = call.headers.get(frontend::REQUEST_ID_HEADER);
+        Effect::Dispatch { id, request, to, timeout } => {
+            let request_id = request.headers.get(frontend::REQUEST_ID_HEADER);
             let request_id = request_id.and_then(|id| id.to_str().ok()).unwrap_or_default();
-            tracing::debug!(event = "dispatch", id = request_id, dispatch = id.0, %to, wait = wait.0, "inv");
+            tracing::debug!(event = "dispatch", id = request_id, dispatch = id.0, %to, wait = timeout.0, "inv");
         }
-        Effect::GiveUp(id) => tracing::debug!(event = "given_up", dispatch = id.0, "inv"),
-        Effect::Answer(ticket, answer) => {
+        Effect::AbortDispatch(id) => tracing::debug!(event = "given_up", dispatch = id.0, "inv"),
+        Effect::Answer(number, answer) => {
             let answer = match answer {
                 FinalAnswer::Succeeded(_) => "succeeded",
                 FinalAnswer::Throttled { .. } => "throttled",
                 FinalAnswer::Terminated => "terminated",
-                FinalAnswer::IdTaken => "id_taken",
+                FinalAnswer::RequestIdInUse => "id_taken",
                 FinalAnswer::Unverified { .. } => "unverified",
             };
-            tracing::debug!(event = "answer", ticket = ticket.0, answer, "inv");
+            tracing::debug!(event = "answer", ticket = number.0, answer, "inv");
         }
         _ => {}
     }
--- a/crates/stagepond-sidecar/src/frontend.rs
+++ b/crates/stagepond-sidecar/src/frontend.rs
@@ -55,7 +55,7 @@
 /// answered may stay idle for 2 s, and places held for that long would admit fewer clients than arrive.
 const NEAR_LIMIT_SHARE: f64 = 0.9;
 /// The most memory that one connection holds: its read buffer and one body.
-pub const MAX_CONNECTION_BYTES: usize = MAX_HEAD_BYTES + BODY_MAX;
+pub const MAX_CONNECTION_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES;
 /// Longest accepted `X-Request-ID`, in bytes.
 const MAX_REQUEST_ID_BYTES: usize = 128;
 /// Largest accepted time limit: no client waits longer on one connection, and the decision module forgets
@@ -142,8 +142,8 @@
     inputs: mpsc::UnboundedSender<Input>,
     ready: AtomicBool,
     leaving: AtomicBool,
-    next_ticket: AtomicU64,
-    pending_answers: Mutex<HashMap<Ticket, oneshot::Sender<FinalAnswer>>>,
+    next_number: AtomicU64,
+    pending_answers: Mutex<HashMap<InvocationNumber, oneshot::Sender<FinalAnswer>>>,
     connections: Mutex<BTreeMap<u64, ClientConnection>>,
     max_connections: usize,
     /// Notified when a connection has closed or become idle.
@@ -170,7 +170,7 @@
             inputs,
             ready: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
-            next_ticket: AtomicU64::new(1),
+            next_number: AtomicU64::new(1),
             pending_answers: Mutex::default(),
             connections: Mutex::default(),
             max_connections,
@@ -184,13 +184,13 @@
         self.connections.lock().expect("no holder of the lock panics")
     }
 
-    fn pending_answers(&self) -> MutexGuard<'_, HashMap<Ticket, oneshot::Sender<FinalAnswer>>> {
+    fn pending_answers(&self) -> MutexGuard<'_, HashMap<InvocationNumber, oneshot::Sender<FinalAnswer>>> {
         self.pending_answers.lock().expect("no holder of the lock panics")
     }
 
-    /// Answers the invocation with this ticket. Does nothing if its client has disconnected.
-    pub fn send_answer(&self, ticket: Ticket, answer: FinalAnswer) {
-        let pending = self.pending_answers().remove(&ticket);
+    /// Answers the invocation with this number. Does nothing if its client has disconnected.
+    pub fn send_answer(&self, number: InvocationNumber, answer: FinalAnswer) {
+        let pending = self.pending_answers().remove(&number);
         // No sender is left if the client has gone; `PendingInvocation` reports that to the reducer.
         if let Some(pending) = pending {
             let _ = pending.send(answer);
@@ -320,8 +320,11 @@
     async fn wait_for_room(&self) {
         while !self.try_make_room() {
             // The timeout is needed because a connection can become evictable by its age alone.
-            let _ = tokio::time::timeout(duration(NEW_CONNECTION_GRACE), self.connections_changed.notified())
-                .await;
+            let _ = tokio::time::timeout(
+                to_std_duration(NEW_CONNECTION_GRACE),
+                self.connections_changed.notified(),
+            )
+            .await;
         }
     }
 
@@ -330,7 +333,7 @@
     async fn sweep_connections(self: Arc<Frontend>) {
         let mut last_sweep = self.clock.now();
         loop {
-            tokio::time::sleep(duration(SWEEP_INTERVAL)).await;
+            tokio::time::sleep(to_std_duration(SWEEP_INTERVAL)).await;
             let now = self.clock.now();
             // After this process was paused, bytes that arrived in time must be read first.
             let was_paused = now > last_sweep + SWEEP_INTERVAL + SWEEP_INTERVAL;
@@ -392,7 +395,7 @@
     fn report_if_empty(&self) {
         let empty = self.connections().is_empty();
         if empty && self.leaving.load(Ordering::Relaxed) {
-            let _ = self.inputs.send(Input::FrontEmpty);
+            let _ = self.inputs.send(Input::AllClientsDisconnected);
         }
     }
 
@@ -469,7 +472,7 @@
 /// only after this has succeeded.
 fn check_head(
     operations: &Operations, method: &Method, uri: &Uri, headers: &HeaderMap,
-) -> Result<(Op, ClientId, Tenths), Rejection> {
+) -> Result<(Op, RequestId, Tenths), Rejection> {
     let first_segment = uri.path().split('/').nth(1).unwrap_or_default();
     let op = operations.0.iter().position(|(name, _)| name == first_segment);
     let op =
@@ -480,8 +483,8 @@
     if text(OPERATION_HEADER) != Some(first_segment) {
         return Err(bad_request("X-Priority-Class must be given once and equal the first path segment"));
     }
-    let id = text(REQUEST_ID_HEADER).filter(|id| id.len() <= MAX_REQUEST_ID_BYTES);
-    let id = id.ok_or_else(|| {
+    let request_id = text(REQUEST_ID_HEADER).filter(|id| id.len() <= MAX_REQUEST_ID_BYTES);
+    let request_id = request_id.ok_or_else(|| {
         bad_request(&format!(
             "X-Request-ID must be given once, with 1 to {MAX_REQUEST_ID_BYTES} visible ASCII characters"
         ))
@@ -505,25 +508,28 @@
         return Err(bad_request("Idempotency-Key must be given once and not be empty"));
     }
     let length = headers.get(header::CONTENT_LENGTH).and_then(|v| v.to_str().ok()?.parse::<u64>().ok());
-    if length.is_some_and(|length| length > BODY_MAX as u64) {
-        return Err((StatusCode::PAYLOAD_TOO_LARGE, format!("the body is longer than {BODY_MAX} bytes\n")));
+    if length.is_some_and(|length| length > MAX_BODY_BYTES as u64) {
+        return Err((
+            StatusCode::PAYLOAD_TOO_LARGE,
+            format!("the body is longer than {MAX_BODY_BYTES} bytes\n"),
+        ));
     }
-    Ok((Op(op), ClientId(id.into()), limit))
+    Ok((Op(op), RequestId(request_id.into()), limit))
 }
 
 /// An invocation that waits for its answer. Dropping it before the answer has come, as when the client
-/// disconnects, reports [`Input::Left`] to the reducer.
+/// disconnects, reports [`Input::ClientDisconnected`] to the reducer.
 struct PendingInvocation {
     frontend: Arc<Frontend>,
-    ticket: Ticket,
+    number: InvocationNumber,
     connection_id: u64,
 }
 
 impl Drop for PendingInvocation {
     fn drop(&mut self) {
         self.frontend.set_idle(self.connection_id, true);
-        if self.frontend.pending_answers().remove(&self.ticket).is_some() {
-            let _ = self.frontend.inputs.send(Input::Left(self.ticket));
+        if self.frontend.pending_answers().remove(&self.number).is_some() {
+            let _ = self.frontend.inputs.send(Input::ClientDisconnected(self.number));
         }
     }
 }
@@ -540,13 +546,13 @@
         }
         checked => checked,
     };
-    let (op, id, limit) = match checked {
+    let (op, request_id, limit) = match checked {
         Ok(checked) => checked,
         Err(rejection) => return close_after(rejection.into_response()),
     };
     // Without a Content-Length only the HTTP library knows where the next message begins, so none is read.
     let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
-    let body = match Limited::new(body, BODY_MAX).collect().await {
+    let body = match Limited::new(body, MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
         Err(error) if error.is::<LengthLimitError>() => {
             return close_after(StatusCode::PAYLOAD_TOO_LARGE.into_response());
@@ -556,14 +562,14 @@
     let (method, uri, mut headers) = (head.method, head.uri, head.headers);
     HOP_BY_HOP_HEADERS.iter().for_each(|name| drop(headers.remove(name)));
     let target = uri.path_and_query().cloned().unwrap_or_else(|| PathAndQuery::from_static("/"));
-    let call = Arc::new(Call { method, target, headers, body });
-    let ticket = Ticket(frontend.next_ticket.fetch_add(1, Ordering::Relaxed));
+    let request = Arc::new(ForwardedRequest { method, target, headers, body });
+    let number = InvocationNumber(frontend.next_number.fetch_add(1, Ordering::Relaxed));
     let (answer_sender, answer) = oneshot::channel();
-    frontend.pending_answers().insert(ticket, answer_sender);
+    frontend.pending_answers().insert(number, answer_sender);
     frontend.set_idle(connection.id, false);
-    let waiting = PendingInvocation { frontend: frontend.clone(), ticket, connection_id: connection.id };
-    let until = connection.trace.last_received_at() + limit;
-    let _ = frontend.inputs.send(Input::Arrived { ticket, id, call, op, until });
+    let waiting = PendingInvocation { frontend: frontend.clone(), number, connection_id: connection.id };
+    let deadline = connection.trace.last_received_at() + limit;
+    let _ = frontend.inputs.send(Input::InvocationReceived { number, request_id, request, op, deadline });
     let answer = answer.await;
     drop(waiting);
     let response = answer_response(answer);
@@ -601,15 +607,15 @@
             response.headers_mut().remove(LOAD_HEADER);
             response
         }
-        Ok(FinalAnswer::Throttled { stay_away }) => throttled_response(stay_away),
-        Ok(FinalAnswer::IdTaken) => StatusCode::CONFLICT.into_response(),
-        Ok(FinalAnswer::Unverified { failed, stay_away }) => {
-            let text = format!("no pod returned content that matches the signed metadata: {failed}\n");
-            let mut response = match stay_away {
-                Some(stay_away) => throttled_response(stay_away),
+        Ok(FinalAnswer::Throttled { retry_after }) => throttled_response(retry_after),
+        Ok(FinalAnswer::RequestIdInUse) => StatusCode::CONFLICT.into_response(),
+        Ok(FinalAnswer::Unverified { failed_check, retry_after }) => {
+            let text = format!("no pod returned content that matches the signed metadata: {failed_check}\n");
+            let mut response = match retry_after {
+                Some(retry_after) => throttled_response(retry_after),
                 None => StatusCode::BAD_GATEWAY.into_response(),
             };
-            response.headers_mut().insert(CHECK_FAILED_HEADER, HeaderValue::from_static(failed));
+            response.headers_mut().insert(CHECK_FAILED_HEADER, HeaderValue::from_static(failed_check));
             *response.body_mut() = Body::from(text);
             response
         }
--- a/crates/stagepond-sidecar/src/peers.rs
+++ b/crates/stagepond-sidecar/src/peers.rs
@@ -89,7 +89,11 @@
                 match peer.filter(|_| len <= MAX_DATAGRAM_BYTES) {
                     Some(peer) if peer == own_peer => {}
                     Some(from) => {
-                        if inputs.send(Input::Mail { from, words: buffer[..len].to_vec() }).await.is_err() {
+                        if inputs
+                            .send(Input::PeerDatagram { from, payload: buffer[..len].to_vec() })
+                            .await
+                            .is_err()
+                        {
                             return;
                         }
                     }
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -45,7 +45,7 @@
 /// Parses an event of the stream; `None` for an event of an unknown kind.
 fn parse_event(kind: &str, data: &str, names: &Names) -> Result<Option<Input>> {
     Ok(match kind {
-        "ROLLOUT" => Some(Input::Standing(
+        "ROLLOUT" => Some(Input::RolloutStatusReceived(
             serde_urlencoded::from_str::<StandingForm>(data).context(kind.to_string())?.read()?,
         )),
         "DISPUTE" => {
@@ -58,7 +58,7 @@
             }
             let pod = PodName(dispute.server.into());
             let age = Tenths::floor_ms(dispute.age_ms);
-            Some(Input::Disputed { pod, op: Op(op), age })
+            Some(Input::AnswerDisputed { pod, op: Op(op), age })
         }
         _ => None,
     })
@@ -174,7 +174,7 @@
 
 /// Sends a vote and returns the platform's answer. [`Ending::TimedOut`] stands for every result after which
 /// it is unknown whether the vote counted.
-async fn cast_vote(address: SocketAddr, vote: &VoteRequest, clock: Clock) -> Result<Standing, Ending> {
+async fn cast_vote(address: SocketAddr, vote: &VoteRequest, clock: Clock) -> Result<RolloutStatus, Ending> {
     let verdict = match vote.verdict {
         None => "abstain",
         Some(Verdict::On) => "promote",
@@ -249,7 +249,7 @@
     code: String,
 }
 
-fn parse_vote_response(status: StatusCode, body: &Bytes) -> Result<Standing, Ending> {
+fn parse_vote_response(status: StatusCode, body: &Bytes) -> Result<RolloutStatus, Ending> {
     let text = std::str::from_utf8(body).map_err(|_| Ending::TimedOut)?;
     if status == StatusCode::OK {
         let response = quick_xml::de::from_str::<VoteResponse>(text).map_err(|_| Ending::TimedOut)?;
