--- a/crates/stagepond-sidecar/src/lib.rs
+++ b/crates/stagepond-sidecar/src/lib.rs
@@ -3,8 +3,10 @@
 //! The binary `stagepond` runs it on sockets; the tests drive the reducer alone.
 
 pub mod cli;
+pub mod connection;
 pub mod discovery;
-pub mod front;
+pub mod event_loop;
+pub mod frontend;
 pub mod keeping;
 pub mod launch;
 pub mod leading;
@@ -19,9 +21,7 @@
 pub mod reducer;
 #[cfg(test)]
 mod reducer_tests;
-pub mod shell;
 pub mod stream;
 pub mod verifying;
 #[cfg(test)]
 mod verifying_stories;
-pub mod wire;
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -24,10 +24,10 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
+use crate::connection::{ConnectionTrace, TracedConnection, MAX_HEAD_BYTES};
 use crate::launch::Transport;
 use crate::messages::*;
-use crate::stream::Complaints;
-use crate::wire::{Trace, Wire, HEAD_MAX};
+use crate::stream::RateLimitedLog;
 
 /// How long a connection stays out of use after a response if another one is free. Excess bytes after a
 /// response arrive immediately after it and make the connection unusable.
@@ -55,15 +55,15 @@
 #[derive(Clone)]
 struct Connector {
     to: SocketAddr,
-    trace: Trace,
+    trace: ConnectionTrace,
     clock: Clock,
     timeout: Duration,
 }
 
 impl tower_service::Service<Uri> for Connector {
-    type Response = Wire;
+    type Response = TracedConnection;
     type Error = io::Error;
-    type Future = Pin<Box<dyn std::future::Future<Output = io::Result<Wire>> + Send>>;
+    type Future = Pin<Box<dyn std::future::Future<Output = io::Result<TracedConnection>> + Send>>;
 
     fn poll_ready(&mut self, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         Poll::Ready(Ok(()))
@@ -72,7 +72,7 @@
     fn call(&mut self, _to: Uri) -> Self::Future {
         let Connector { to, trace, clock, timeout } = self.clone();
         Box::pin(async move {
-            let connected = tokio::time::timeout(timeout, Wire::connect(to, trace, clock)).await;
+            let connected = tokio::time::timeout(timeout, TracedConnection::connect(to, trace, clock)).await;
             connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
         })
     }
@@ -81,7 +81,7 @@
 /// A client with at most one connection to one pod.
 struct PodConnection {
     client: Client<Connector, Full<Bytes>>,
-    trace: Trace,
+    trace: ConnectionTrace,
     idle_since: Instant,
     /// Reference that counts this connection in [`PodClient::connection_count`].
     _counted: Arc<()>,
@@ -92,7 +92,7 @@
 
 struct OpenDispatch {
     to: SocketAddr,
-    trace: Trace,
+    trace: ConnectionTrace,
     task: AbortHandle,
 }
 
@@ -131,7 +131,7 @@
     transport: Transport,
     clock: Clock,
     inputs: mpsc::UnboundedSender<Input>,
-    complaints: Arc<Complaints>,
+    warnings: Arc<RateLimitedLog>,
 }
 
 impl PodClient {
@@ -148,7 +148,7 @@
             transport,
             clock,
             inputs,
-            complaints: Arc::default(),
+            warnings: Arc::default(),
         }
     }
 
@@ -171,22 +171,23 @@
         };
         let trace = connection.trace.clone();
         let (clock, inputs, idle) = (self.clock, self.inputs.clone(), self.idle.clone());
-        let (complaints, reuse_stats) = (self.complaints.clone(), self.reuse_stats.clone());
+        let (warnings, reuse_stats) = (self.warnings.clone(), self.reuse_stats.clone());
         let task = tokio::spawn(async move {
-            let reused = connection.trace.stands();
+            let reused = connection.trace.is_open();
             let started_at = clock.now();
             let (outcome, reusable) =
-                send_request(&connection, &request, to, timeout, clock, &complaints).await;
+                send_request(&connection, &request, to, timeout, clock, &warnings).await;
             if reused {
                 // Broken: reset before any byte arrived in response to this request.
-                let broke = outcome.ending == Ending::Reset && connection.trace.came_at() < started_at;
+                let broke =
+                    outcome.ending == Ending::Reset && connection.trace.last_received_at() < started_at;
                 reuse_stats.lock().expect("never held while panicking").record(broke);
             }
             if !reusable {
-                connection.trace.cut();
+                connection.trace.shut_down();
             }
             let _ = inputs.send(Input::DispatchEnded(id, outcome));
-            if connection.trace.fit() {
+            if connection.trace.is_reusable() {
                 let connection = PodConnection { idle_since: Instant::now(), ..connection };
                 let mut idle = idle.lock().expect("never held while panicking");
                 idle.entry(to).or_default().push(connection);
@@ -204,7 +205,7 @@
         let mut idle = self.idle.lock().expect("never held while panicking");
         let allow_reuse = self.reuse_stats.lock().expect("never held while panicking").allow_reuse();
         if let Some(connections) = idle.get_mut(&to) {
-            connections.retain(|connection| allow_reuse && connection.trace.fit());
+            connections.retain(|connection| allow_reuse && connection.trace.is_reusable());
             let settled = connections.iter().rposition(|c| c.idle_since.elapsed() >= SETTLE_TIME);
             let connection = settled.map(|at| connections.remove(at)).or_else(|| connections.pop());
             if let Some(connection) = connection {
@@ -212,7 +213,7 @@
             }
         }
         if Arc::strong_count(&self.connection_count) > self.max_connections {
-            idle.values_mut().for_each(|connections| connections.retain(|c| c.trace.fit()));
+            idle.values_mut().for_each(|connections| connections.retain(|c| c.trace.is_reusable()));
             idle.retain(|_, connections| !connections.is_empty());
             let oldest = idle.iter().filter_map(|(at, all)| Some((all.first()?.idle_since, *at))).min();
             match oldest {
@@ -226,7 +227,7 @@
     }
 
     fn new_connection(&self, to: SocketAddr) -> PodConnection {
-        let trace = Trace::default();
+        let trace = ConnectionTrace::default();
         let timeout = to_std_duration(self.transport.connect_timeout);
         let connector = Connector { to, trace: trace.clone(), clock: self.clock, timeout };
         let client = Client::builder(TokioExecutor::new())
@@ -234,7 +235,7 @@
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
             .pool_idle_timeout(to_std_duration(self.transport.idle_close.scale(IDLE_TIMEOUT_SHARE)))
-            .http1_max_buf_size(HEAD_MAX)
+            .http1_max_buf_size(MAX_HEAD_BYTES)
             .build(connector);
         PodConnection { client, trace, idle_since: Instant::now(), _counted: self.connection_count.clone() }
     }
@@ -242,7 +243,7 @@
     /// Aborts a dispatch. Its connection is closed before this returns.
     pub fn abort(&mut self, id: DispatchId) {
         if let Some(dispatch) = self.dispatches.remove(&id) {
-            dispatch.trace.cut();
+            dispatch.trace.shut_down();
             dispatch.task.abort();
         }
     }
@@ -264,22 +265,22 @@
 /// exactly one complete response and may be used again.
 async fn send_request(
     connection: &PodConnection, request: &ForwardedRequest, to: SocketAddr, timeout: Tenths, clock: Clock,
-    complaints: &Complaints,
+    warnings: &RateLimitedLog,
 ) -> (DispatchOutcome, bool) {
-    connection.trace.begins(request.body.len());
+    connection.trace.begin_message(request.body.len());
     let mut response = ForwardedResponse::default();
     let (mut ending, mut in_flight) = (Ending::Reset, None);
     let (mut reusable, mut not_found) = (false, false);
     match connection.client.request(http_request(request, to, timeout)).await {
         // Proof that the invocation did not run: the connection did not take the whole request.
-        Err(_) if !connection.trace.whole() => ending = Ending::NoConnection,
+        Err(_) if !connection.trace.is_message_written() => ending = Ending::NoConnection,
         Err(_) => {}
         Ok(answer) => {
             let (head, body) = answer.into_parts();
             if let Some(load) = head.headers.get(LOAD_HEADER) {
                 in_flight = reported_in_flight(load.to_str().unwrap_or_default());
                 if in_flight.is_none() {
-                    complaints.say(format_args!("pods: {to}: invalid load report {load:?}"));
+                    warnings.warn(format_args!("pods: {to}: invalid load report {load:?}"));
                 }
             }
             // A body without a length ends with the connection, so one that was cut short looks complete.
@@ -296,7 +297,7 @@
     // A response ended when its last bytes arrived. The end of a connection has no bytes to take the time
     // from.
     let responded = matches!(ending, Ending::Succeeded | Ending::Error | Ending::Full);
-    let ended_at = if responded { connection.trace.came_at() } else { clock.now() };
+    let ended_at = if responded { connection.trace.last_received_at() } else { clock.now() };
     (DispatchOutcome { ending, ended_at, in_flight, response, not_found }, reusable)
 }
 
