--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -8,8 +8,8 @@
 use tokio::signal::unix::{signal, SignalKind};
 
 use crate::config::{self, LoadKind, SidecarConfig};
+use crate::event_loop;
 use crate::operators::{self, LeadershipConfig};
-use crate::shell;
 
 const HELP: &str = "\
 stagepond: an invocation router and release judge, as a sidecar
@@ -87,7 +87,7 @@
     init_logging()?;
     let config = load_config(&arguments, LoadKind::Initial)?;
     let reload = move || load_config(&arguments, LoadKind::Reload).map(SidecarConfig::into_reloadable);
-    let result = runtime.block_on(shell::serve(config, reload, hangups));
+    let result = runtime.block_on(event_loop::serve(config, reload, hangups));
     runtime.shutdown_background();
     result
 }
--- a/crates/stagepond-sidecar/src/config.rs
+++ b/crates/stagepond-sidecar/src/config.rs
@@ -184,10 +184,10 @@
         env(variable).or(value).ok_or_else(|| anyhow!("{field}: missing, and {variable} is not set"))
     };
     let settings = &file.settings;
-    let (facts, names) = stagepond_facts::read(settings)?;
-    let time = |path: &str| stagepond_facts::number(settings, path).map(Tenths::floor_ms);
+    let (facts, names) = stagepond_facts::parse_settings(settings)?;
+    let time = |path: &str| stagepond_facts::number_at(settings, path).map(Tenths::floor_ms);
     let is_streaming = |operation: &Value| operation.pointer("/streaming") == Some(&Value::Bool(true));
-    if stagepond_facts::list(settings, "/classes")?.iter().any(is_streaming) {
+    if stagepond_facts::list_at(settings, "/classes")?.iter().any(is_streaming) {
         bail!("settings: /classes: streaming is true, but streamed answers are not supported");
     }
     if facts.sticky_keys {
@@ -215,7 +215,7 @@
         bail!("limits.sockets: {}, expected at least {MIN_SOCKETS}", file.limits.sockets);
     }
     let known_pods = match file.known {
-        Some(known) => discovery::decode(known, &names).context("known")?,
+        Some(known) => discovery::decode_list(known, &names).context("known")?,
         None => PodList { index: 0, is_snapshot: true, pods: Vec::new() },
     };
     let discovery_address = match load_kind {
--- a/crates/stagepond-sidecar/src/lib.rs
+++ b/crates/stagepond-sidecar/src/lib.rs
@@ -4,8 +4,10 @@
 
 pub mod cli;
 pub mod config;
+pub mod connection;
 pub mod discovery;
-pub mod front;
+pub mod event_loop;
+pub mod frontend;
 pub mod leadership;
 #[cfg(test)]
 mod leadership_tests;
@@ -18,10 +20,8 @@
 pub mod reducer;
 #[cfg(test)]
 mod reducer_tests;
-pub mod shell;
 pub mod state_files;
 pub mod stream;
 pub mod verification;
 #[cfg(test)]
 mod verification_tests;
-pub mod wire;
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -330,7 +330,7 @@
     }
 
     fn names() -> Names {
-        Names { operations: vec![], zones: vec![], kinds: vec![] }
+        Names { operations: vec![], zones: vec![], machine_kinds: vec![] }
     }
 
     /// Writes an operators' file, with one key file that only its owner can read and one that others can.
