--- a/crates/stagepond-sidecar/src/lib.rs
+++ b/crates/stagepond-sidecar/src/lib.rs
@@ -3,15 +3,14 @@
 //! The binary `stagepond` runs it on sockets; the tests drive the reducer alone.
 
 pub mod cli;
+pub mod config;
 pub mod connection;
 pub mod discovery;
 pub mod event_loop;
 pub mod frontend;
-pub mod keeping;
-pub mod launch;
-pub mod leading;
+pub mod leadership;
 #[cfg(test)]
-mod leading_stories;
+mod leadership_tests;
 pub mod lifecycle;
 pub mod messages;
 pub mod operators;
@@ -21,7 +20,8 @@
 pub mod reducer;
 #[cfg(test)]
 mod reducer_tests;
+pub mod state_files;
 pub mod stream;
-pub mod verifying;
+pub mod verification;
 #[cfg(test)]
-mod verifying_stories;
+mod verification_tests;
