--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use crate::bounds::Bounds;
 use crate::ids::*;
 use crate::lease::LeaderLease;
 use crate::log::{Command, Entry};
 use crate::members::Members;
 use crate::planted::{Fault, Planted};
 use crate::raft::{CommandError, Event, PersistentState, RaftNode};
-use crate::seal::{Dropped, Key, Keys, Seals};
+use crate::seal::{DropReason, Key, KeySet, Sealer};
+use crate::settings::Settings;
 use crate::wire::{Gossip, Health, Message};
 
 /// What the host tells an instance.
@@ -116,13 +116,13 @@
     pub suspect: usize,
     pub dead: usize,
     /// Datagrams dropped since the start, by reason.
-    pub dropped: BTreeMap<Dropped, u64>,
+    pub dropped: BTreeMap<DropReason, u64>,
 }
 
 /// One process's part in leadership.
 pub struct Instance {
-    bounds: Bounds,
-    seals: Seals,
+    settings: Settings,
+    seals: Sealer,
     members: Members,
     raft: RaftNode,
     /// The host's clock at the last input.
@@ -146,9 +146,9 @@
     /// Seeds the random generators.
     pub seed: u64,
     /// The validated settings.
-    pub bounds: Bounds,
+    pub settings: Settings,
     /// The keys that seal and open datagrams.
-    pub keys: Keys,
+    pub keys: KeySet,
     /// The state that an earlier process wrote to disk, if there is a disk.
     pub persisted: Option<PersistentState>,
     /// Faults that a test switches on; none in production.
@@ -158,7 +158,7 @@
 impl Instance {
     /// Starts an instance. Persisted state of another seat is ignored.
     pub fn new(config: InstanceConfig) -> Instance {
-        let InstanceConfig { now, seat, life, seed, bounds, keys, persisted, planted } = config;
+        let InstanceConfig { now, seat, life, seed, settings, keys, persisted, planted } = config;
         let empty = PersistentState::empty(seat, Memory(life.0));
         let persistent = match persisted.filter(|p| p.seat == seat) {
             Some(persisted) if planted.has(Fault::TermForgotten) => {
@@ -171,10 +171,10 @@
             None => empty,
         };
         Instance {
-            seals: Seals::new(seat, life, bounds.seats, keys),
-            members: Members::new(now, seat, life, persistent.memory, &bounds, seed),
-            raft: RaftNode::new(now, life, persistent, &bounds, seed, planted),
-            bounds,
+            seals: Sealer::new(seat, life, settings.seats, keys),
+            members: Members::new(now, seat, life, persistent.memory, &settings, seed),
+            raft: RaftNode::new(now, life, persistent, &settings, seed, planted),
+            settings,
             last_seen: now,
             clock_offset: Tenths(0),
             planted,
@@ -215,7 +215,7 @@
             alive: self.members.count(Health::Alive),
             suspect: self.members.count(Health::Suspect),
             dead: self.members.count(Health::Dead) + self.members.count(Health::Left),
-            dropped: Dropped::ALL.iter().map(|d| (*d, self.seals.dropped[*d as usize])).collect(),
+            dropped: DropReason::ALL.iter().map(|d| (*d, self.seals.dropped[*d as usize])).collect(),
         }
     }
 
@@ -223,7 +223,7 @@
     pub fn next_due(&self) -> Tenths {
         let due = self.members.next_due().min(self.raft.next_due()) - self.clock_offset;
         // A longer silence would be taken for a pause of this process.
-        due.min(self.last_seen + Tenths(self.bounds.gap().0 / 2))
+        due.min(self.last_seen + Tenths(self.settings.max_input_gap().0 / 2))
     }
 
     /// Processes one input at `now`, on the host's clock.
@@ -253,7 +253,7 @@
                 self.members.leave(committed, &mut outbox);
             }
             Input::NewKey { key, old_until } => {
-                self.seals.keys().change(key, old_until + self.clock_offset);
+                self.seals.keys().rotate(key, old_until + self.clock_offset);
             }
             Input::AcceptKey { key, until } => self.seals.keys().accept(key, until + self.clock_offset),
         }
@@ -270,7 +270,7 @@
             effects.push(Effect::Persist { version, state: self.raft.persistent_state().encode() });
         }
         for (to, message) in outbox {
-            if usize::from(to.0) < usize::from(self.bounds.seats) && to != self.raft.id().seat {
+            if usize::from(to.0) < usize::from(self.settings.seats) && to != self.raft.id().seat {
                 effects.push(self.sealed(to, &message));
             }
         }
@@ -278,7 +278,7 @@
         effects.extend(events.into_iter().map(|event| self.effect_of(event)));
         let changes: Vec<_> = self.members.changes.drain(..).collect();
         for news in changes {
-            self.seals.told(news.seat, news.life);
+            self.seals.learn_peer_life(news.seat, news.life);
             effects.push(Effect::MemberChanged { seat: news.seat, health: news.health });
         }
         effects
@@ -286,7 +286,7 @@
 
     fn sealed(&mut self, to: Seat, message: &Message) -> Effect {
         // While the life of the recipient is unknown, only `Hello` and `Welcome` may be sent to it.
-        let unknown = self.seals.life_of(to) == Life(0);
+        let unknown = self.seals.peer_life(to) == Life(0);
         let hello = unknown && !matches!(message, Message::Welcome { .. });
         let body = if hello { Message::Hello.encode() } else { message.encode() };
         Effect::Send { to, bytes: self.seals.seal(to, &body) }
@@ -316,7 +316,7 @@
     /// really passed is unknown, and all timers that depend on it start again.
     fn advance_clock(&mut self, now: Tenths) -> Tenths {
         let went_back = now < self.last_seen;
-        let gap = now > self.last_seen + self.bounds.gap();
+        let gap = now > self.last_seen + self.settings.max_input_gap();
         if went_back {
             self.clock_offset = self.clock_offset + (self.last_seen - now);
         }
@@ -324,7 +324,7 @@
         let inside = now + self.clock_offset;
         if went_back || gap {
             self.raft.on_clock_anomaly(inside, went_back);
-            self.members.stood_still(inside);
+            self.members.on_clock_anomaly(inside);
         }
         inside
     }
@@ -332,31 +332,33 @@
     fn on_datagram(&mut self, now: Tenths, bytes: &[u8], outbox: &mut Vec<(Seat, Message)>) {
         let Some(opened) = self.seals.open(now, bytes) else { return };
         let (from, life, to_me) = (opened.from, opened.life, opened.to_me);
-        let Some(message) = Message::decode(opened.body) else { return self.seals.count(Dropped::Garbled) };
+        let Some(message) = Message::decode(opened.body) else {
+            return self.seals.count_dropped(DropReason::Garbled);
+        };
         if !to_me {
             return self.on_unknown_process(now, from, life, message, outbox);
         }
-        self.members.heard(now, from, life);
+        self.members.on_heard_from(now, from, life);
         match message {
-            Message::Hello => outbox.push((from, Message::Welcome { highest: life })),
+            Message::Hello => outbox.push((from, Message::Welcome { highest_life: life })),
             Message::Welcome { .. } => {
                 let committed = self.raft.committed();
-                self.members.ping(from, 0, committed, outbox);
+                self.members.on_ping(from, 0, committed, outbox);
             }
             Message::Ping { nonce, gossip } => {
                 self.on_gossip(now, from, gossip);
                 let committed = self.raft.committed();
-                self.members.ping(from, nonce, committed, outbox);
+                self.members.on_ping(from, nonce, committed, outbox);
             }
             Message::Ack { nonce, gossip } => {
                 self.on_gossip(now, from, gossip);
                 let committed = self.raft.committed();
-                self.members.ack(now, from, nonce, committed, outbox);
+                self.members.on_ack(now, from, nonce, committed, outbox);
             }
-            Message::PingFor { nonce, target, gossip } => {
+            Message::PingReq { nonce, target, gossip } => {
                 self.on_gossip(now, from, gossip);
                 let committed = self.raft.committed();
-                self.members.ping_for(now, from, nonce, target, committed, outbox);
+                self.members.on_ping_req(now, from, nonce, target, committed, outbox);
             }
             message => self.raft.on_message(now, from, message),
         }
@@ -369,29 +371,29 @@
     fn on_unknown_process(
         &mut self, now: Tenths, from: Seat, life: Life, message: Message, outbox: &mut Vec<(Seat, Message)>,
     ) {
-        let known = self.seals.life_of(from);
+        let known = self.seals.peer_life(from);
         match message {
-            Message::Welcome { highest } if highest >= self.members.life() && life == known => {
+            Message::Welcome { highest_life } if highest_life >= self.members.life() && life == known => {
                 // The clock went back between two processes at this seat: the new life must exceed the old
                 // one.
-                let life = Life(highest.0 + 1);
-                self.seals.reborn(life);
-                self.members.reborn(life);
+                let life = Life(highest_life.0 + 1);
+                self.seals.set_own_life(life);
+                self.members.set_own_life(life);
             }
             Message::Welcome { .. } => {}
             _ if self.next_welcome_at.get(&from).is_none_or(|at| now >= *at) => {
-                self.next_welcome_at.insert(from, now + Tenths(self.bounds.round_trip.0 / 2));
-                self.seals.told(from, life);
-                outbox.push((from, Message::Welcome { highest: self.seals.life_of(from) }));
+                self.next_welcome_at.insert(from, now + Tenths(self.settings.round_trip.0 / 2));
+                self.seals.learn_peer_life(from, life);
+                outbox.push((from, Message::Welcome { highest_life: self.seals.peer_life(from) }));
             }
             _ => {}
         }
     }
 
     fn on_gossip(&mut self, now: Tenths, from: Seat, gossip: Gossip) {
-        for news in gossip.news {
-            self.members.news(now, news);
+        for state in gossip.members {
+            self.members.merge(now, state);
         }
-        self.raft.on_peer_commit(now, from, gossip.record);
+        self.raft.on_peer_commit(now, from, gossip.committed);
     }
 }
--- a/crates/stagepond-leadership/src/lib.rs
+++ b/crates/stagepond-leadership/src/lib.rs
@@ -7,7 +7,7 @@
 //! The modules, from the lowest layer up:
 //!
 //! - [`ids`] - identifiers
-//! - [`bounds`] - validated settings
+//! - [`settings`] - validated settings
 //! - [`log`] - the replicated log and its snapshot
 //! - [`wire`] - messages between instances
 //! - [`seal`] - authentication of datagrams
@@ -17,7 +17,6 @@
 //! - [`instance`] - all of the above behind one step function
 //! - [`planted`] - faults that tests switch on to check that the proof finds them
 
-pub mod bounds;
 pub mod ids;
 pub mod instance;
 pub mod lease;
@@ -26,4 +25,5 @@
 pub mod planted;
 pub mod raft;
 pub mod seal;
+pub mod settings;
 pub mod wire;
--- a/crates/stagepond-leadership/src/log.rs
+++ b/crates/stagepond-leadership/src/log.rs
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bounds::VOTERS_MAX;
 use crate::ids::*;
+use crate::settings::MAX_VOTERS;
 
 /// The membership configuration: the voters, and a membership change in progress.
 ///
@@ -61,7 +61,7 @@
     fn is_valid(&self) -> bool {
         let consistent =
             |(removed, added): (Voter, Voter)| self.now.contains(&removed) && !self.now.contains(&added);
-        !self.now.is_empty() && self.now.len() <= VOTERS_MAX && self.change.is_none_or(consistent)
+        !self.now.is_empty() && self.now.len() <= MAX_VOTERS && self.change.is_none_or(consistent)
     }
 }
 
--- a/crates/stagepond-leadership/src/members.rs
+++ b/crates/stagepond-leadership/src/members.rs
@@ -5,9 +5,9 @@
 
 use std::collections::VecDeque;
 
-use crate::bounds::Bounds;
 use crate::ids::*;
-use crate::wire::{Gossip, Health, Message, News, NEWS_MAX};
+use crate::settings::Settings;
+use crate::wire::{Gossip, Health, MemberState, Message, MAX_GOSSIP_MEMBERS};
 
 /// Members that are asked to probe in one's stead.
 const INDIRECT: usize = 3;
@@ -25,7 +25,7 @@
 
 #[derive(Clone, Debug)]
 struct Known {
-    news: News,
+    news: MemberState,
     since: Tenths,
     suspected: Option<Suspicion>,
 }
@@ -55,8 +55,8 @@
 }
 
 pub struct Members {
-    me: News,
-    bounds: Bounds,
+    me: MemberState,
+    settings: Settings,
     rng: fastrand::Rng,
     known: Vec<Option<Known>>,
     /// A shuffled round of all seats: each is probed once in a round (SWIM, section 4.3).
@@ -65,27 +65,36 @@
     next_probe: Tenths,
     probes: u32,
     relays: VecDeque<Relay>,
-    /// News to pass on and how often that was done, least often first; at most one for each seat.
+    /// MemberState to pass on and how often that was done, least often first; at most one for each seat.
     spread: Vec<(u32, Seat)>,
     suspicions: Vec<Seat>,
     slow: u32,
     last_nonce: u32,
     leaving: bool,
     /// Changes since they were last taken, for those who want to know.
-    pub changes: Vec<News>,
+    pub changes: Vec<MemberState>,
 }
 
 impl Members {
-    pub fn new(now: Tenths, seat: Seat, life: Life, memory: Memory, bounds: &Bounds, seed: u64) -> Members {
+    pub fn new(
+        now: Tenths, seat: Seat, life: Life, memory: Memory, settings: &Settings, seed: u64,
+    ) -> Members {
         // 0 stands for a memory that began with the life.
         let memory = if memory.0 == life.0 { Memory(0) } else { memory };
-        let me = News { seat, life, incarnation: 0, health: Health::Alive, by: seat, memory: Some(memory) };
+        let me = MemberState {
+            seat,
+            life,
+            incarnation: 0,
+            health: Health::Alive,
+            suspected_by: seat,
+            memory: Some(memory),
+        };
         let mut rng = fastrand::Rng::with_seed(seed ^ 0x5717);
-        let first = now + Tenths((rng.f64() * bounds.probe_every.0 as f64) as i64);
+        let first = now + Tenths((rng.f64() * settings.probe_interval.0 as f64) as i64);
         Members {
             me,
-            known: vec![None; usize::from(bounds.seats)],
-            bounds: bounds.clone(),
+            known: vec![None; usize::from(settings.seats)],
+            settings: settings.clone(),
             rng,
             round: VecDeque::new(),
             probe: None,
@@ -106,20 +115,20 @@
     }
 
     /// What is known of a seat; of one's own always that it is alive.
-    pub fn of(&self, seat: Seat) -> Option<News> {
+    pub fn state(&self, seat: Seat) -> Option<MemberState> {
         if seat == self.me.seat {
             return Some(self.me);
         }
         self.known.get(usize::from(seat.0))?.as_ref().map(|k| k.news)
     }
 
-    pub fn alive(&self, seat: Seat) -> bool {
-        self.of(seat).is_some_and(|n| matches!(n.health, Health::Alive | Health::Suspect))
+    pub fn is_alive(&self, seat: Seat) -> bool {
+        self.state(seat).is_some_and(|n| matches!(n.health, Health::Alive | Health::Suspect))
     }
 
     /// The memory that a live process at that seat keeps its promises in.
     pub fn memory(&self, seat: Seat) -> Option<Memory> {
-        let news = self.of(seat).filter(|n| matches!(n.health, Health::Alive | Health::Suspect))?;
+        let news = self.state(seat).filter(|n| matches!(n.health, Health::Alive | Health::Suspect))?;
         news.memory.map(|m| if m == Memory(0) { Memory(news.life.0) } else { m })
     }
 
@@ -135,15 +144,15 @@
     }
 
     /// Any member that seems alive, by chance.
-    pub fn somebody(&mut self) -> Option<Seat> {
+    pub fn random_alive_seat(&mut self) -> Option<Seat> {
         (0..8).find_map(|_| {
-            let seat = Seat(self.rng.u16(0..self.bounds.seats));
-            (seat != self.me.seat && self.alive(seat)).then_some(seat)
+            let seat = Seat(self.rng.u16(0..self.settings.seats));
+            (seat != self.me.seat && self.is_alive(seat)).then_some(seat)
         })
     }
 
     /// This process is older than one that others knew here: it goes on as a later one.
-    pub fn reborn(&mut self, life: Life) {
+    pub fn set_own_life(&mut self, life: Life) {
         if self.me.memory == Some(Memory(0)) {
             self.me.memory = Some(Memory(self.me.life.0));
         }
@@ -152,7 +161,7 @@
     }
 
     fn grown(&self) -> f64 {
-        f64::from(self.bounds.seats).max(2.0).log2().ceil()
+        f64::from(self.settings.seats).max(2.0).log2().ceil()
     }
 
     fn pass_on(&mut self, seat: Seat) {
@@ -162,15 +171,16 @@
 
     /// What goes with a message to `to`: first of all that it is suspected, if it is, as nobody else has more to
     /// say about that (Lifeguard's buddy system).
-    pub fn gossip(&mut self, to: Seat, record: (Term, Number)) -> Gossip {
+    pub fn gossip(&mut self, to: Seat, committed: (Term, Number)) -> Gossip {
         let most = (PASSED_ON * self.grown()) as u32;
-        let mut news: Vec<News> = self.of(to).filter(|n| n.health != Health::Alive).into_iter().collect();
+        let mut news: Vec<MemberState> =
+            self.state(to).filter(|n| n.health != Health::Alive).into_iter().collect();
         let mut spread = std::mem::take(&mut self.spread);
         let others = spread.iter().map(|(_, seat)| *seat).filter(|s| *s != to);
-        news.extend(others.take(NEWS_MAX - news.len()).filter_map(|seat| self.of(seat)));
-        let gossip = Gossip { news, record }.fitting(3);
+        news.extend(others.take(MAX_GOSSIP_MEMBERS - news.len()).filter_map(|seat| self.state(seat)));
+        let gossip = Gossip { members: news, committed }.truncate_to_fit(3);
         for (times, seat) in &mut spread {
-            *times += u32::from(gossip.news.iter().any(|n| n.seat == *seat));
+            *times += u32::from(gossip.members.iter().any(|n| n.seat == *seat));
         }
         spread.retain(|(times, _)| *times < most);
         spread.sort_by_key(|(times, _)| *times);
@@ -189,11 +199,11 @@
     }
 
     fn suspicion_lasts(&self, confirmed: usize) -> Tenths {
-        let least = 2.0 * self.grown().max(2.0) * self.bounds.probe_every.0 as f64;
+        let least = 2.0 * self.grown().max(2.0) * self.settings.probe_interval.0 as f64;
         let share = (confirmed as f64 + 1.0).ln() / (CONFIRMING as f64 + 1.0).ln();
         let lasts = LONGEST * least - (LONGEST - 1.0) * least * share.min(1.0);
         // Few members can't confirm each other: nobody waits for words that can't come.
-        let few = usize::from(self.bounds.seats) < CONFIRMING + 2;
+        let few = usize::from(self.settings.seats) < CONFIRMING + 2;
         Tenths(if few { least } else { lasts } as i64)
     }
 
@@ -218,12 +228,12 @@
     }
 
     /// After standing still, what came in meanwhile must be read before anybody is suspected.
-    pub fn stood_still(&mut self, now: Tenths) {
+    pub fn on_clock_anomaly(&mut self, now: Tenths) {
         self.slow = (self.slow + 2).min(SLOW_MAX);
         if let Some(probe) = &mut self.probe {
-            probe.until = probe.until.max(now + self.bounds.probe_every);
+            probe.until = probe.until.max(now + self.settings.probe_interval);
         }
-        self.next_probe = self.next_probe.max(now + self.bounds.round_trip);
+        self.next_probe = self.next_probe.max(now + self.settings.round_trip);
         for known in self.known.iter_mut().flatten() {
             if let Some(suspected) = &mut known.suspected {
                 suspected.since = suspected.since.max(now);
@@ -231,33 +241,33 @@
         }
     }
 
-    fn ping_again(&mut self, probe: &Probe, record: (Term, Number), out: &mut Vec<(Seat, Message)>) {
-        let gossip = self.gossip(probe.seat, record);
+    fn ping_again(&mut self, probe: &Probe, committed: (Term, Number), out: &mut Vec<(Seat, Message)>) {
+        let gossip = self.gossip(probe.seat, committed);
         out.push((probe.seat, Message::Ping { nonce: probe.nonce, gossip }));
     }
 
-    pub fn tick(&mut self, now: Tenths, record: (Term, Number), out: &mut Vec<(Seat, Message)>) {
+    pub fn tick(&mut self, now: Tenths, committed: (Term, Number), out: &mut Vec<(Seat, Message)>) {
         self.relays.retain(|r| r.until > now);
         if let Some(mut probe) = self.probe.take() {
             if !probe.asked && now >= probe.indirect_at {
                 probe.asked = true;
-                self.ping_again(&probe, record, out);
-                let others: Vec<Seat> = (0..INDIRECT * 2).filter_map(|_| self.somebody()).collect();
+                self.ping_again(&probe, committed, out);
+                let others: Vec<Seat> = (0..INDIRECT * 2).filter_map(|_| self.random_alive_seat()).collect();
                 let mut asked = Vec::new();
                 for other in others {
                     if other != probe.seat && !asked.contains(&other) && asked.len() < INDIRECT {
                         asked.push(other);
-                        let gossip = self.gossip(other, record);
+                        let gossip = self.gossip(other, committed);
                         out.push((
                             other,
-                            Message::PingFor { nonce: probe.nonce, target: probe.seat, gossip },
+                            Message::PingReq { nonce: probe.nonce, target: probe.seat, gossip },
                         ));
                     }
                 }
             }
             if now >= probe.again_at {
                 probe.again_at = Tenths::NEVER;
-                self.ping_again(&probe, record, out);
+                self.ping_again(&probe, committed, out);
             }
             if now >= probe.until {
                 self.slow = (self.slow + 1).min(SLOW_MAX);
@@ -268,26 +278,26 @@
         }
         for seat in self.suspicions.clone() {
             if now >= self.suspicion_ends(seat) {
-                if let Some(news) = self.of(seat) {
-                    self.learn(now, News { health: Health::Dead, ..news });
+                if let Some(news) = self.state(seat) {
+                    self.learn(now, MemberState { health: Health::Dead, ..news });
                 }
             }
         }
         if now >= self.next_probe {
-            self.next_probe = now + self.bounds.probe_every;
+            self.next_probe = now + self.settings.probe_interval;
             if self.probe.is_none() {
-                self.begin_probe(now, record, out);
+                self.begin_probe(now, committed, out);
             }
         }
     }
 
-    fn begin_probe(&mut self, now: Tenths, record: (Term, Number), out: &mut Vec<(Seat, Message)>) {
+    fn begin_probe(&mut self, now: Tenths, committed: (Term, Number), out: &mut Vec<(Seat, Message)>) {
         self.probes += 1;
         let revisit = self.probes.is_multiple_of(LOOK_AGAIN);
         let alone = self.count(Health::Alive) <= 1;
-        for _ in 0..=usize::from(self.bounds.seats) {
+        for _ in 0..=usize::from(self.settings.seats) {
             if self.round.is_empty() {
-                let mut seats: Vec<Seat> = (0..self.bounds.seats).map(Seat).collect();
+                let mut seats: Vec<Seat> = (0..self.settings.seats).map(Seat).collect();
                 self.rng.shuffle(&mut seats);
                 self.round = seats.into();
             }
@@ -298,12 +308,12 @@
                 continue;
             }
             let nonce = self.nonce();
-            let gossip = self.gossip(seat, record);
+            let gossip = self.gossip(seat, committed);
             out.push((seat, Message::Ping { nonce, gossip }));
             // Nobody is suspected who was never there, or is known to be gone.
             if health.is_some() && !gone {
-                let indirect_at = now + self.patience(self.bounds.round_trip);
-                let until = now + self.patience(self.bounds.probe_every).max(self.bounds.round_trip);
+                let indirect_at = now + self.patience(self.settings.round_trip);
+                let until = now + self.patience(self.settings.probe_interval).max(self.settings.round_trip);
                 let again_at = Tenths((indirect_at.0 + until.0) / 2);
                 self.probe = Some(Probe { seat, nonce, indirect_at, until, asked: false, again_at });
             }
@@ -311,27 +321,29 @@
         }
     }
 
-    pub fn ping(&mut self, from: Seat, nonce: u32, record: (Term, Number), out: &mut Vec<(Seat, Message)>) {
-        let gossip = self.gossip(from, record);
+    pub fn on_ping(
+        &mut self, from: Seat, nonce: u32, committed: (Term, Number), out: &mut Vec<(Seat, Message)>,
+    ) {
+        let gossip = self.gossip(from, committed);
         out.push((from, Message::Ack { nonce, gossip }));
     }
 
-    pub fn ping_for(
-        &mut self, now: Tenths, from: Seat, theirs: u32, target: Seat, record: (Term, Number),
+    pub fn on_ping_req(
+        &mut self, now: Tenths, from: Seat, theirs: u32, target: Seat, committed: (Term, Number),
         out: &mut Vec<(Seat, Message)>,
     ) {
-        if target == self.me.seat || target.0 >= self.bounds.seats || self.relays.len() >= RELAYS_MAX {
+        if target == self.me.seat || target.0 >= self.settings.seats || self.relays.len() >= RELAYS_MAX {
             return;
         }
         let nonce = self.nonce();
-        let until = now + self.bounds.probe_every;
+        let until = now + self.settings.probe_interval;
         self.relays.push_back(Relay { nonce, target, origin: from, theirs, until });
-        let gossip = self.gossip(target, record);
+        let gossip = self.gossip(target, committed);
         out.push((target, Message::Ping { nonce, gossip }));
     }
 
-    pub fn ack(
-        &mut self, now: Tenths, from: Seat, nonce: u32, record: (Term, Number),
+    pub fn on_ack(
+        &mut self, now: Tenths, from: Seat, nonce: u32, committed: (Term, Number),
         out: &mut Vec<(Seat, Message)>,
     ) {
         if self.probe.as_ref().is_some_and(|p| p.nonce == nonce) {
@@ -343,26 +355,33 @@
         }
         if let Some(at) = self.relays.iter().position(|r| r.nonce == nonce && r.target == from) {
             let relay = self.relays.remove(at).expect("just found");
-            let gossip = self.gossip(relay.origin, record);
+            let gossip = self.gossip(relay.origin, committed);
             out.push((relay.origin, Message::Ack { nonce: relay.theirs, gossip }));
         }
     }
 
     /// It was heard from this process: at least that it lives.
-    pub fn heard(&mut self, now: Tenths, seat: Seat, life: Life) {
-        let newer = self.of(seat).is_none_or(|news| news.life < life);
+    pub fn on_heard_from(&mut self, now: Tenths, seat: Seat, life: Life) {
+        let newer = self.state(seat).is_none_or(|news| news.life < life);
         if newer {
             self.learn(
                 now,
-                News { seat, life, incarnation: 0, health: Health::Alive, by: seat, memory: None },
+                MemberState {
+                    seat,
+                    life,
+                    incarnation: 0,
+                    health: Health::Alive,
+                    suspected_by: seat,
+                    memory: None,
+                },
             );
         }
     }
 
     fn suspect(&mut self, now: Tenths, seat: Seat, by: Seat) {
-        let Some(news) = self.of(seat) else { return };
+        let Some(news) = self.state(seat) else { return };
         if news.health == Health::Alive {
-            self.learn(now, News { health: Health::Suspect, by, ..news });
+            self.learn(now, MemberState { health: Health::Suspect, suspected_by: by, ..news });
         }
         if let Some(known) = self.known[usize::from(seat.0)].as_mut() {
             if let Some(s) =
@@ -374,24 +393,24 @@
         }
     }
 
-    pub fn news(&mut self, now: Tenths, news: News) {
-        if news.seat.0 >= self.bounds.seats {
+    pub fn merge(&mut self, now: Tenths, news: MemberState) {
+        if news.seat.0 >= self.settings.seats {
             return;
         }
         if news.seat == self.me.seat {
             return self.refute(news);
         }
-        if news.health == Health::Suspect && self.of(news.seat).is_some_and(|n| n.life == news.life) {
-            let same = self.of(news.seat).is_some_and(|n| n.incarnation == news.incarnation);
+        if news.health == Health::Suspect && self.state(news.seat).is_some_and(|n| n.life == news.life) {
+            let same = self.state(news.seat).is_some_and(|n| n.incarnation == news.incarnation);
             if same {
-                self.suspect(now, news.seat, news.by);
+                self.suspect(now, news.seat, news.suspected_by);
             }
         }
         self.learn(now, news);
     }
 
     /// Somebody takes this process for gone: it says, louder, that it is not.
-    fn refute(&mut self, news: News) {
+    fn refute(&mut self, news: MemberState) {
         let about_me = news.life == self.me.life && news.health != Health::Alive;
         if about_me && !self.leaving && news.incarnation >= self.me.incarnation {
             self.me.incarnation = news.incarnation + 1;
@@ -401,12 +420,12 @@
     }
 
     /// Whether one says more than the other: a later life, then a later incarnation, then the graver state.
-    fn outweighs(new: &News, old: &News) -> bool {
+    fn outweighs(new: &MemberState, old: &MemberState) -> bool {
         (new.life, new.incarnation, new.health) > (old.life, old.incarnation, old.health)
             || (new.life == old.life && old.memory.is_none() && new.memory.is_some())
     }
 
-    fn learn(&mut self, now: Tenths, mut news: News) {
+    fn learn(&mut self, now: Tenths, mut news: MemberState) {
         let seat = news.seat;
         if seat == self.me.seat {
             return;
@@ -428,7 +447,8 @@
             (old.life, old.health, old.memory) != (news.life, news.health, news.memory)
         });
         let since = old.filter(|_| !changed).map_or(now, |(_, since)| since);
-        let suspected = (news.health == Health::Suspect).then(|| Suspicion { since: now, by: vec![news.by] });
+        let suspected =
+            (news.health == Health::Suspect).then(|| Suspicion { since: now, by: vec![news.suspected_by] });
         self.suspicions.retain(|s| *s != seat);
         if suspected.is_some() {
             self.suspicions.push(seat);
@@ -441,20 +461,20 @@
     }
 
     /// An orderly leave: told to a few at once, and passed on by them.
-    pub fn leave(&mut self, record: (Term, Number), out: &mut Vec<(Seat, Message)>) {
+    pub fn leave(&mut self, committed: (Term, Number), out: &mut Vec<(Seat, Message)>) {
         self.leaving = true;
         self.me.health = Health::Left;
         self.pass_on(self.me.seat);
         for _ in 0..INDIRECT {
-            if let Some(seat) = self.somebody() {
+            if let Some(seat) = self.random_alive_seat() {
                 let nonce = self.nonce();
-                let gossip = self.gossip(seat, record);
+                let gossip = self.gossip(seat, committed);
                 out.push((seat, Message::Ping { nonce, gossip }));
             }
         }
     }
 
-    pub fn left(&self) -> bool {
+    pub fn has_left(&self) -> bool {
         self.leaving
     }
 }
--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -14,23 +14,23 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::bounds::{Bounds, POOL_MAX};
 use crate::ids::*;
 use crate::lease::LeaderLease;
 use crate::log::*;
 use crate::members::Members;
 use crate::planted::{Fault, Planted};
+use crate::settings::{Settings, MAX_POOL_SEATS};
 use crate::wire::*;
 
 /// Heartbeats that wait for their answers. An answer to an older one can no longer extend the lease.
 const MAX_HEARTBEAT_ROUNDS: usize = 32;
 /// Messages that wait until the state they depend on is persisted.
 const MAX_PENDING_MESSAGES: usize = 256;
-/// A bootstrap attempt is abandoned after this many hold times ([`Bounds::hold`]).
+/// A bootstrap attempt is abandoned after this many hold times ([`Settings::hold_time`]).
 const BOOTSTRAP_TIMEOUT_HOLDS: i64 = 2;
 /// Distance between the eras of one seat. Each seat of the pool starts eras at its own offset, so no two
 /// seats start the same one.
-const ERA_STRIDE: u64 = POOL_MAX as u64 + 1;
+const ERA_STRIDE: u64 = MAX_POOL_SEATS as u64 + 1;
 /// After this many hold times without a leader a bootstrap is tried even if a quorum of voters seems alive.
 const LEADERLESS_HOLDS_BEFORE_BOOTSTRAP: i64 = 12;
 /// Bytes of a message body that are reserved beside the entries of an answer to a fetch.
@@ -145,7 +145,7 @@
 #[derive(Clone, Debug, Hash)]
 struct Bootstrap {
     era: Era,
-    answers: BTreeMap<Seat, Promised>,
+    answers: BTreeMap<Seat, BootstrapStatus>,
     /// The new configuration, once all have answered. Resent until the bootstrap ends, since datagrams can be
     /// lost.
     proposal: Option<Message>,
@@ -229,7 +229,7 @@
 #[derive(Clone)]
 pub struct RaftNode {
     id: Voter,
-    bounds: Bounds,
+    settings: Settings,
     planted: Planted,
     rng: fastrand::Rng,
     persistent: PersistentState,
@@ -285,13 +285,14 @@
 impl RaftNode {
     /// Starts as a follower with the given persistent state.
     pub fn new(
-        now: Tenths, life: Life, persistent: PersistentState, bounds: &Bounds, seed: u64, planted: Planted,
+        now: Tenths, life: Life, persistent: PersistentState, settings: &Settings, seed: u64,
+        planted: Planted,
     ) -> RaftNode {
         let id = Voter { seat: persistent.seat, memory: persistent.memory };
-        let (persisted_last, hold) = (persistent.log.last().1, bounds.hold);
+        let (persisted_last, hold) = (persistent.log.last().1, settings.hold_time);
         let mut node = RaftNode {
             id,
-            bounds: bounds.clone(),
+            settings: settings.clone(),
             planted,
             rng: fastrand::Rng::with_seed(seed ^ 0x1ead),
             persistent,
@@ -379,14 +380,14 @@
             self.persistent.term,
             self.id.seat,
             self.persistent.log.commit_number(),
-            leader.lease_until.min(now + self.bounds.act_within),
+            leader.lease_until.min(now + self.settings.max_grant_time),
             self.planted,
         );
         (opened && !transferring && lease.check(now).is_ok()).then_some(lease)
     }
 
     fn jitter(&mut self) -> Tenths {
-        Tenths(self.rng.i64(0..=self.bounds.round_trip.0))
+        Tenths(self.rng.i64(0..=self.settings.round_trip.0))
     }
 
     /// Additional election timeout: lower seats start first, and jitter separates the rest, so that two
@@ -394,7 +395,7 @@
     fn election_delay(&mut self) -> Tenths {
         let voters = self.voters();
         let rank = voters.iter().filter(|v| v.seat < self.id.seat).count() as i64;
-        Tenths(rank * self.bounds.round_trip.0) + self.jitter()
+        Tenths(rank * self.settings.round_trip.0) + self.jitter()
     }
 
     /// Marks the persistent state as changed in this step.
@@ -421,7 +422,7 @@
             }
             let version = self.version;
             self.pending_messages.extend(self.outbox.drain(..).map(|(to, message)| (version, to, message)));
-            if self.bounds.durable || self.persisted_version == version {
+            if self.settings.durable || self.persisted_version == version {
                 break;
             }
             // Without a disk the state counts as persisted at once. What follows from that may change it
@@ -437,7 +438,7 @@
         while self.pending_messages.len() > MAX_PENDING_MESSAGES {
             self.pending_messages.pop_front();
         }
-        (version_to_persist.filter(|_| self.bounds.durable), messages)
+        (version_to_persist.filter(|_| self.settings.durable), messages)
     }
 
     /// The persistent state of this version, and of all earlier ones, survives a crash.
@@ -483,9 +484,9 @@
     /// The clock was stepped, or this process was paused: timers that depend on the elapsed time start again.
     pub fn on_clock_anomaly(&mut self, now: Tenths, went_back: bool) {
         if !self.planted.has(Fault::HoldForgottenAfterPause) {
-            self.hold_until = self.hold_until.max(now + self.bounds.hold);
+            self.hold_until = self.hold_until.max(now + self.settings.hold_time);
             if went_back {
-                self.hold_until = now + self.bounds.hold;
+                self.hold_until = now + self.settings.hold_time;
             }
         }
         if self.is_leader() && went_back {
@@ -493,7 +494,7 @@
         }
         self.election_at = self.hold_until + self.election_delay();
         self.leaderless_since = now;
-        self.bootstrap_at = now + self.bounds.hold;
+        self.bootstrap_at = now + self.settings.hold_time;
     }
 
     /// Gives up any role and follows; reported as an event if this instance led.
@@ -545,7 +546,7 @@
         };
         if timed_out {
             self.role = Role::Follower;
-            self.election_at = now + self.election_delay() + Tenths(self.bounds.round_trip.0);
+            self.election_at = now + self.election_delay() + Tenths(self.settings.round_trip.0);
         }
         if matches!(self.role, Role::Follower) && now >= self.election_at {
             self.start_pre_vote(now);
@@ -579,33 +580,33 @@
     /// 9.6).
     fn start_pre_vote(&mut self, now: Tenths) {
         if !self.can_vote() || now < self.hold_until {
-            self.election_at = now.max(self.hold_until) + self.bounds.beat();
+            self.election_at = now.max(self.hold_until) + self.settings.heartbeat_interval();
             return;
         }
         if self.planted.has(Fault::NoPreVote) {
             return self.start_election(now, None);
         }
-        let until = now + self.bounds.round_trip;
+        let until = now + self.settings.round_trip;
         let granted = BTreeSet::from([self.id]);
         self.role = Role::Candidate { pre_vote: true, granted, until };
         let (term, memory) = (self.persistent.term.next(), self.id.memory);
         let last = self.persistent.log.last();
-        self.send_to_voters(Message::PreVote { term, memory, last });
+        self.send_to_voters(Message::PreVoteRequest { term, memory, last });
         self.count_votes(now);
     }
 
-    /// Starts an election in the next term. `handed` is the term of a leader that transferred its leadership
+    /// Starts an election in the next term. `transfer_term` is the term of a leader that transferred its leadership
     /// here.
-    fn start_election(&mut self, now: Tenths, handed: Option<Term>) {
+    fn start_election(&mut self, now: Tenths, transfer_term: Option<Term>) {
         self.persistent.term = self.persistent.term.next();
         self.persistent.voted_for = Some(self.id);
         self.bootstrap_promise = None;
         self.mark_dirty();
-        let until = now + Tenths(self.bounds.round_trip.0 * 2);
+        let until = now + Tenths(self.settings.round_trip.0 * 2);
         let granted = BTreeSet::from([self.id]);
         self.role = Role::Candidate { pre_vote: false, granted, until };
         let (term, memory, last) = (self.persistent.term, self.id.memory, self.persistent.log.last());
-        self.send_to_voters(Message::Vote { term, memory, last, handed });
+        self.send_to_voters(Message::VoteRequest { term, memory, last, transfer_term });
     }
 
     fn send_to_voters(&mut self, message: Message) {
@@ -655,7 +656,7 @@
             heartbeat_rounds: VecDeque::new(),
             // The new leader has one lease time to get answers from a quorum. Before that it can't act, since
             // its first entry is not committed.
-            lease_until: now + self.bounds.lease(),
+            lease_until: now + self.settings.lease_time(),
             opening_number,
             leader_since: now,
             next_heartbeat_at: now,
@@ -670,14 +671,14 @@
         let free = now >= self.hold_until && !self.is_leader() || self.planted.has(Fault::HoldIgnored);
         let known = self.voters().contains(&candidate) || last.0 > self.persistent.log.voters().1;
         let granted = term > self.persistent.term && up_to_date && free && known && self.can_vote();
-        let (own, memory) = (self.persistent.term, self.id.memory);
-        self.send(from, Message::PreVoted { term, memory, granted, own });
+        let (own_term, memory) = (self.persistent.term, self.id.memory);
+        self.send(from, Message::PreVoteAnswer { term, memory, granted, own_term });
     }
 
-    fn on_pre_vote_answer(&mut self, now: Tenths, voter: Voter, term: Term, granted: bool, own: Term) {
-        if own > self.persistent.term {
+    fn on_pre_vote_answer(&mut self, now: Tenths, voter: Voter, term: Term, granted: bool, own_term: Term) {
+        if own_term > self.persistent.term {
             // Adopts the term, without a vote in it, so that the next pre-vote asks for a high enough one.
-            return self.advance_term(now, own);
+            return self.advance_term(now, own_term);
         }
         if let Role::Candidate { pre_vote: true, granted: votes, .. } = &mut self.role {
             if granted && term == self.persistent.term.next() {
@@ -689,18 +690,18 @@
 
     fn on_vote_request(
         &mut self, now: Tenths, from: Seat, term: Term, memory: Memory, last: (Term, Number),
-        handed: Option<Term>,
+        transfer_term: Option<Term>,
     ) {
         let candidate = Voter { seat: from, memory };
         // The leader that this voter holds for has given up its lease in favor of the candidate.
-        let released = handed.is_some() && handed == Some(self.persistent.term);
+        let released = transfer_term.is_some() && transfer_term == Some(self.persistent.term);
         let free =
             (now >= self.hold_until && !self.is_leader()) || released || self.planted.has(Fault::HoldIgnored);
         // A voter that holds for a leader does not even adopt the higher term. Otherwise a candidate that is
         // cut off from the leader could depose it.
         if term < self.persistent.term || !free || !self.can_vote() {
             let (term, memory) = (self.persistent.term, self.id.memory);
-            return self.send(from, Message::Voted { term, memory, granted: false });
+            return self.send(from, Message::VoteAnswer { term, memory, granted: false });
         }
         self.advance_term(now, term);
         let up_to_date = last >= self.persistent.log.last() || self.planted.has(Fault::StaleCandidate);
@@ -712,10 +713,10 @@
         }
         if granted {
             self.bootstrap_promise = None;
-            self.election_at = now + self.bounds.hold;
+            self.election_at = now + self.settings.hold_time;
         }
         let memory = self.id.memory;
-        self.send(from, Message::Voted { term, memory, granted });
+        self.send(from, Message::VoteAnswer { term, memory, granted });
     }
 
     fn on_vote_answer(&mut self, now: Tenths, voter: Voter, term: Term, granted: bool) {
@@ -734,7 +735,7 @@
 
     /// Sends an append to each follower, which also renews the lease once a quorum has answered.
     fn send_heartbeats(&mut self, now: Tenths) {
-        let interval = self.bounds.beat();
+        let interval = self.settings.heartbeat_interval();
         let Role::Leader(leader) = &mut self.role else { return };
         leader.next_heartbeat_at = now + interval;
         let round = HeartbeatRound { first_append: leader.last_append + 1, sent_at: now };
@@ -759,26 +760,27 @@
         let log = &self.persistent.log;
         // Entries up to the base are compacted. A follower that needs them sees the commit index and fetches
         // them.
-        let before = Number(progress.next_number.0.saturating_sub(1)).max(log.base_number());
-        let term_before = log.term_at(before).unwrap_or_default();
-        let (term, memory, round) = (self.persistent.term, self.id.memory, leader.last_append);
-        let (before, commit) = ((term_before, before), log.commit_number());
-        let append_with = |entries| Message::Append { term, memory, round, before, commit, entries };
-        let room = BODY_MAX - append_with(Vec::new()).encode().len();
-        let message = append_with(fitting(log.entries_after(before.1), room));
+        let previous = Number(progress.next_number.0.saturating_sub(1)).max(log.base_number());
+        let previous_term = log.term_at(previous).unwrap_or_default();
+        let (term, memory, append_id) = (self.persistent.term, self.id.memory, leader.last_append);
+        let (previous, commit) = ((previous_term, previous), log.commit_number());
+        let append_with =
+            |entries| Message::AppendRequest { term, memory, append_id, previous, commit, entries };
+        let room = MAX_BODY_BYTES - append_with(Vec::new()).encode().len();
+        let message = append_with(take_fitting(log.entries_after(previous.1), room));
         self.send(voter.seat, message);
     }
 
     #[allow(clippy::too_many_arguments)]
     fn on_append(
-        &mut self, now: Tenths, from: Seat, term: Term, round: u64, before: (Term, Number), commit: Number,
-        entries: Vec<Entry>,
+        &mut self, now: Tenths, from: Seat, term: Term, append_id: u64, previous: (Term, Number),
+        commit: Number, entries: Vec<Entry>,
     ) {
         let memory = self.id.memory;
         if term < self.persistent.term {
             let (last, own) = (self.persistent.log.last().1, self.persistent.term);
             let commit = self.persistent.log.commit_number();
-            let message = Message::Appended { term: own, memory, round, matched: None, last, commit };
+            let message = Message::AppendAnswer { term: own, memory, append_id, matched: None, last, commit };
             return self.send(from, message);
         }
         self.advance_term(now, term);
@@ -796,14 +798,14 @@
         }
         self.leader = Some(from);
         self.leaderless_since = now;
-        self.hold_until = now + self.bounds.hold;
+        self.hold_until = now + self.settings.hold_time;
         self.election_at = self.hold_until + self.election_delay();
-        self.bootstrap_at = self.hold_until + self.bounds.hold;
+        self.bootstrap_at = self.hold_until + self.settings.hold_time;
         let log = &mut self.persistent.log;
-        let consistent = before.1 <= log.commit_number() || log.term_at(before.1) == Some(before.0);
+        let consistent = previous.1 <= log.commit_number() || log.term_at(previous.1) == Some(previous.0);
         let mut matched = None;
         if consistent {
-            let mut last_matched = before.1;
+            let mut last_matched = previous.1;
             let mut changed = false;
             for entry in entries {
                 if entry.number != last_matched.next() || entry.term > term {
@@ -821,18 +823,18 @@
             self.start_catch_up(now, from);
         }
         let (last, commit) = (self.persistent.log.last().1, self.persistent.log.commit_number());
-        self.send(from, Message::Appended { term, memory, round, matched, last, commit });
+        self.send(from, Message::AppendAnswer { term, memory, append_id, matched, last, commit });
     }
 
     #[allow(clippy::too_many_arguments)]
     fn on_append_answer(
-        &mut self, now: Tenths, voter: Voter, term: Term, round: u64, matched: Option<Number>, last: Number,
-        commit: Number,
+        &mut self, now: Tenths, voter: Voter, term: Term, append_id: u64, matched: Option<Number>,
+        last: Number, commit: Number,
     ) {
         if term > self.persistent.term {
             return self.advance_term(now, term);
         }
-        let interval = self.bounds.beat();
+        let interval = self.settings.heartbeat_interval();
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.followers.get_mut(&voter).filter(|_| term == self.persistent.term) else {
             return;
@@ -841,8 +843,8 @@
             progress.responsive_since = now;
         }
         progress.answered_at = now;
-        progress.last_answered = progress.last_answered.max(round);
-        let is_latest = round == progress.last_sent;
+        progress.last_answered = progress.last_answered.max(append_id);
+        let is_latest = append_id == progress.last_sent;
         let own_last = self.persistent.log.last().1;
         let behind = match matched {
             Some(number) => {
@@ -870,7 +872,7 @@
     /// Extends the lease, which runs from when the latest heartbeat that a quorum has answered was sent.
     fn renew_lease(&mut self, now: Tenths) {
         let (voters, own_id) = (self.voters(), self.id);
-        let (lease, hold) = (self.bounds.lease(), self.bounds.hold);
+        let (lease, hold) = (self.settings.lease_time(), self.settings.hold_time);
         let planted = self.planted;
         let Role::Leader(leader) = &mut self.role else { return };
         let last_answered = |v: &Voter| match leader.followers.get(v) {
@@ -1021,20 +1023,21 @@
     /// Replaces a voter that is gone, and transfers leadership to a lower seat if the settings prefer that.
     fn review_membership(&mut self, now: Tenths, members: &Members) {
         self.replace_voter(now, members);
-        if !self.bounds.prefer_low {
+        if !self.settings.prefer_lowest_seat {
             return;
         }
         let Role::Leader(leader) = &self.role else { return };
-        if now < leader.leader_since + self.bounds.steady || leader.transfer.is_some() {
+        if now < leader.leader_since + self.settings.min_transfer_interval || leader.transfer.is_some() {
             return;
         }
         let last = self.persistent.log.last().1;
         let preferred = |(v, p): (&Voter, &Progress)| {
-            let steady = now >= p.responsive_since + self.bounds.steady && p.match_number == last;
+            let steady =
+                now >= p.responsive_since + self.settings.min_transfer_interval && p.match_number == last;
             (v.seat < self.id.seat && steady).then_some(v.seat)
         };
         let successor = leader.followers.iter().find_map(preferred);
-        if let Some(seat) = successor.filter(|seat| members.alive(*seat)) {
+        if let Some(seat) = successor.filter(|seat| members.is_alive(*seat)) {
             let _ = self.transfer_leadership(now, seat);
         }
     }
@@ -1056,10 +1059,10 @@
         let replaced = || {
             let gone = |v: &&Voter| {
                 let since = members.gone_since(v.seat);
-                since.is_some_and(|since| now >= since + self.bounds.replace_after)
+                since.is_some_and(|since| now >= since + self.settings.replace_after)
             };
             let removed = voters.now.iter().find(gone)?;
-            let pool = self.bounds.pool.iter().filter(|seat| !voters.now.iter().any(|v| v.seat == **seat));
+            let pool = self.settings.pool.iter().filter(|seat| !voters.now.iter().any(|v| v.seat == **seat));
             let (seat, memory) = pool.filter_map(|seat| Some((*seat, members.memory(*seat)?))).next()?;
             Some((*removed, Voter { seat, memory }))
         };
@@ -1076,8 +1079,8 @@
     /// The leader gives up its lease at once. The successor is told to start an election when no lease
     /// granted before can still be valid and its log is complete.
     pub fn transfer_leadership(&mut self, now: Tenths, to: Seat) -> Result<(), CommandError> {
-        let not_before = now + self.bounds.act_within;
-        let deadline = not_before + self.bounds.beat() + self.bounds.beat();
+        let not_before = now + self.settings.max_grant_time;
+        let deadline = not_before + self.settings.heartbeat_interval() + self.settings.heartbeat_interval();
         let known_leader = self.leader;
         let Role::Leader(leader) = &mut self.role else { return Err(CommandError::NotLeader(known_leader)) };
         if !leader.followers.keys().any(|v| v.seat == to) {
@@ -1114,11 +1117,11 @@
             }
         } else {
             let term = self.persistent.term;
-            self.send(to, Message::HandOver { term });
+            self.send(to, Message::TimeoutNow { term });
             if !self.planted.has(Fault::TransferKeepsMandate) {
                 self.step_down(now, "handed over");
                 // Leaves the successor time to start its election first.
-                self.election_at = now + self.bounds.hold + self.election_delay();
+                self.election_at = now + self.settings.hold_time + self.election_delay();
             }
         }
     }
@@ -1142,11 +1145,11 @@
 
     fn start_catch_up(&mut self, now: Tenths, from: Seat) {
         if self.catch_up.is_none() {
-            let until = now + Tenths(self.bounds.round_trip.0 * 2);
+            let until = now + Tenths(self.settings.round_trip.0 * 2);
             let pieces = Vec::new();
             self.catch_up = Some(CatchUp { from, until, snapshot_number: Number(0), pieces, next: 0 });
             let after = self.committed();
-            self.send(from, Message::Fetch { after, piece: 0, of: Number(0) });
+            self.send(from, Message::Fetch { after, piece: 0, snapshot_number: Number(0) });
         }
     }
 
@@ -1157,22 +1160,23 @@
         let has_entries = log.term_at(after.1) == Some(after.0) && after.1 >= log.base_number();
         if has_entries && snapshot_number == Number(0) {
             let committed = log.entries_after(after.1).take_while(|e| e.number <= log.commit_number());
-            let entries = fitting(committed, BODY_MAX - FETCHED_ENTRIES_OVERHEAD);
+            let entries = take_fitting(committed, MAX_BODY_BYTES - FETCHED_ENTRIES_OVERHEAD);
             if !entries.is_empty() {
-                self.send(from, Message::Decrees { entries });
+                self.send(from, Message::FetchedEntries { entries });
             }
             return;
         }
         let snapshot = ::postcard::to_allocvec(log.committed()).expect("plain values have an encoding");
-        let total = snapshot.len().div_ceil(PIECE_BYTES);
+        let total = snapshot.len().div_ceil(SNAPSHOT_PIECE_BYTES);
         // The snapshot may have changed since the first piece was sent; then it is sent from the start again.
         let piece = if snapshot_number == log.commit_number() { usize::from(piece) } else { 0 };
-        if total * PIECE_BYTES > STATE_MAX || piece >= total {
+        if total * SNAPSHOT_PIECE_BYTES > MAX_SNAPSHOT_BYTES || piece >= total {
             return;
         }
-        let bytes = snapshot[piece * PIECE_BYTES..].iter().take(PIECE_BYTES).copied().collect();
-        let (of, total, piece) = (log.commit_number(), total as u16, piece as u16);
-        self.send(from, Message::Piece { of, total, piece, bytes });
+        let bytes =
+            snapshot[piece * SNAPSHOT_PIECE_BYTES..].iter().take(SNAPSHOT_PIECE_BYTES).copied().collect();
+        let (snapshot_number, total, piece) = (log.commit_number(), total as u16, piece as u16);
+        self.send(from, Message::SnapshotPiece { snapshot_number, total, piece, bytes });
     }
 
     fn on_fetched_entries(&mut self, now: Tenths, from: Seat, entries: Vec<Entry>) {
@@ -1198,7 +1202,7 @@
     fn on_snapshot_piece(
         &mut self, now: Tenths, from: Seat, snapshot_number: Number, total: u16, piece: u16, bytes: Vec<u8>,
     ) {
-        let round_trip = self.bounds.round_trip;
+        let round_trip = self.settings.round_trip;
         let Some(catch_up) = self.catch_up.as_mut().filter(|c| c.from == from) else { return };
         if catch_up.snapshot_number != snapshot_number || catch_up.pieces.len() != usize::from(total) {
             catch_up.snapshot_number = snapshot_number;
@@ -1209,7 +1213,7 @@
         catch_up.until = now + Tenths(round_trip.0 * 2);
         if let Some(missing) = catch_up.pieces.iter().position(Option::is_none) {
             let after = self.committed();
-            return self.send(from, Message::Fetch { after, piece: missing as u16, of: snapshot_number });
+            return self.send(from, Message::Fetch { after, piece: missing as u16, snapshot_number });
         }
         let bytes: Vec<u8> = std::mem::take(&mut catch_up.pieces).into_iter().flatten().flatten().collect();
         self.catch_up = None;
@@ -1230,8 +1234,8 @@
 
     /// The seats of the pool that take part in a bootstrap.
     fn bootstrap_pool(&self) -> Vec<Seat> {
-        let present = |seat: &&Seat| !self.bounds.absent.contains(seat);
-        self.bounds.pool.iter().filter(present).copied().collect()
+        let present = |seat: &&Seat| !self.settings.absent.contains(seat);
+        self.settings.pool.iter().filter(present).copied().collect()
     }
 
     /// Whether a quorum of the voters, with their memories, is alive as far as the failure detector knows.
@@ -1261,7 +1265,7 @@
                 // Only this process could propose the era's configuration and it no longer will, so its own
                 // promise is void.
                 (self.bootstrap, self.bootstrap_promise) = (None, None);
-                self.bootstrap_at = now + self.bounds.hold + self.jitter();
+                self.bootstrap_at = now + self.settings.hold_time + self.jitter();
             } else if now >= bootstrap.resend_at {
                 self.send_bootstrap_messages(now);
             }
@@ -1270,19 +1274,19 @@
         if now < self.bootstrap_at {
             return;
         }
-        self.bootstrap_at = now + Tenths(self.bounds.hold.0 / 2) + self.jitter();
+        self.bootstrap_at = now + Tenths(self.settings.hold_time.0 / 2) + self.jitter();
         let pool = self.bootstrap_pool();
         let Some(index) = pool.iter().position(|seat| *seat == self.id.seat) else { return };
         if self.is_leader() || matches!(self.role, Role::BootstrapLeader { .. }) {
             return;
         }
         let leaderless = now >= self.hold_until;
-        let hold = self.bounds.hold;
+        let hold = self.settings.hold_time;
         let stuck = now >= self.leaderless_since + Tenths(hold.0 * LEADERLESS_HOLDS_BEFORE_BOOTSTRAP);
         let no_voters = self.voters().now.is_empty() && self.leader.is_none();
         let first_start = no_voters && now >= self.leaderless_since + Tenths(hold.0 / 4);
         let quorum_lost = self.is_bootstrap_pending() || stuck || !self.quorum_seems_alive(members);
-        let is_lowest = pool.iter().find(|seat| members.alive(**seat)) == Some(&self.id.seat);
+        let is_lowest = pool.iter().find(|seat| members.is_alive(**seat)) == Some(&self.id.seat);
         if is_lowest && (first_start || leaderless && quorum_lost) {
             // The index in the pool makes the era unique to this seat. No era is from before this process, so
             // eras rise even if nobody remembers the last one.
@@ -1292,23 +1296,23 @@
             let until = now + Tenths(hold.0 * BOOTSTRAP_TIMEOUT_HOLDS);
             self.bootstrap_promise = Some(BootstrapPromise { era, initiator: self.life });
             self.highest_era = era;
-            let answers = BTreeMap::from([(self.id.seat, self.bootstrap_answer())]);
+            let answers = BTreeMap::from([(self.id.seat, self.bootstrap_status())]);
             self.bootstrap = Some(Bootstrap { era, answers, proposal: None, until, resend_at: now });
             self.send_bootstrap_messages(now);
         }
     }
 
     /// What this instance tells the initiator of a bootstrap about its state.
-    fn bootstrap_answer(&self) -> Promised {
+    fn bootstrap_status(&self) -> BootstrapStatus {
         let era = self.highest_era.max(self.persistent.term.era());
-        Promised { era, memory: self.id.memory, last: self.persistent.log.last() }
+        BootstrapStatus { era, memory: self.id.memory, last: self.persistent.log.last() }
     }
 
     /// Sends the proposal to the whole pool, or, while there is none, the request to those that have not
     /// answered.
     fn send_bootstrap_messages(&mut self, now: Tenths) {
-        let (pool, own_seat, asker) = (self.bootstrap_pool(), self.id.seat, self.life);
-        let interval = self.bounds.beat();
+        let (pool, own_seat, initiator) = (self.bootstrap_pool(), self.id.seat, self.life);
+        let interval = self.settings.heartbeat_interval();
         let Some(bootstrap) = &mut self.bootstrap else { return };
         bootstrap.resend_at = now + interval;
         if let Some(proposal) = bootstrap.proposal.clone() {
@@ -1319,51 +1323,53 @@
         let missing: Vec<Seat> =
             pool.into_iter().filter(|s| *s != own_seat && !answers.contains_key(s)).collect();
         for seat in missing {
-            self.send(seat, Message::Found { era, asker });
+            self.send(seat, Message::BootstrapRequest { era, initiator });
         }
         self.propose_bootstrap(now);
     }
 
     /// Another instance starts an era: promises to take part in no earlier one, unless there is a leader.
-    fn on_bootstrap_request(&mut self, now: Tenths, from: Seat, era: Era, asker: Life) {
+    fn on_bootstrap_request(&mut self, now: Tenths, from: Seat, era: Era, initiator: Life) {
         // An instance that leads, or that has a leader, promises nothing.
         let has_leader = self.is_leader() || (self.leader.is_some() && now < self.hold_until);
         let promised_later = self.bootstrap_promise.is_some_and(|promise| promise.era > era);
-        let busy = has_leader
+        let refused = has_leader
             || promised_later
             || era <= self.persistent.term.era()
-            || !self.bounds.pool.contains(&self.id.seat);
-        if !busy {
-            self.bootstrap_promise = Some(BootstrapPromise { era, initiator: asker });
+            || !self.settings.pool.contains(&self.id.seat);
+        if !refused {
+            self.bootstrap_promise = Some(BootstrapPromise { era, initiator });
             self.bootstrap = self.bootstrap.take().filter(|b| b.era >= era);
             if matches!(self.role, Role::Candidate { .. }) {
                 self.role = Role::Follower;
             }
-            self.election_at = self.election_at.max(now + self.bounds.hold);
-            self.bootstrap_at = now + Tenths(self.bounds.hold.0 * BOOTSTRAP_TIMEOUT_HOLDS) + self.jitter();
+            self.election_at = self.election_at.max(now + self.settings.hold_time);
+            self.bootstrap_at =
+                now + Tenths(self.settings.hold_time.0 * BOOTSTRAP_TIMEOUT_HOLDS) + self.jitter();
         }
         self.highest_era = self.highest_era.max(era);
-        let promised = self.bootstrap_answer();
-        self.send(from, Message::FoundAnswer { asked: era, asker, busy, promised });
+        let status = self.bootstrap_status();
+        self.send(from, Message::BootstrapAnswer { era, initiator, refused, status });
     }
 
     /// An instance of the pool has answered the bootstrap request. A refusal ends the attempt.
     fn on_bootstrap_answer(
-        &mut self, now: Tenths, from: Seat, era: Era, asker: Life, busy: bool, promised: Promised,
+        &mut self, now: Tenths, from: Seat, era: Era, initiator: Life, refused: bool, status: BootstrapStatus,
     ) {
-        self.highest_era = self.highest_era.max(promised.era);
-        let Some(bootstrap) = self.bootstrap.as_mut().filter(|b| b.era == era && asker == self.life) else {
+        self.highest_era = self.highest_era.max(status.era);
+        let Some(bootstrap) = self.bootstrap.as_mut().filter(|b| b.era == era && initiator == self.life)
+        else {
             return;
         };
         if bootstrap.proposal.is_some() {
             return;
         }
-        if busy {
+        if refused {
             (self.bootstrap, self.bootstrap_promise) = (None, None);
-            self.bootstrap_at = now + self.bounds.hold + self.jitter();
+            self.bootstrap_at = now + self.settings.hold_time + self.jitter();
             return;
         }
-        bootstrap.answers.insert(from, promised);
+        bootstrap.answers.insert(from, status);
         self.propose_bootstrap(now);
     }
 
@@ -1378,22 +1384,23 @@
             return;
         }
         let (era, answers) = (bootstrap.era, bootstrap.answers.clone());
-        let by_log = |(seat, p): &(&Seat, &Promised)| (p.last, std::cmp::Reverse(**seat));
+        let by_log = |(seat, p): &(&Seat, &BootstrapStatus)| (p.last, std::cmp::Reverse(**seat));
         let Some((seat, longest)) = answers.iter().max_by_key(by_log) else { return };
         let leader = Voter { seat: *seat, memory: longest.memory };
         let mut voters = vec![leader];
         let others = answers.iter().map(|(seat, p)| Voter { seat: *seat, memory: p.memory });
-        voters.extend(others.filter(|v| *v != leader).take(self.bounds.voters - 1));
+        voters.extend(others.filter(|v| *v != leader).take(self.settings.voter_count - 1));
         voters.sort();
         let voters = Voters::single(voters);
-        let asker = self.life;
+        let initiator = self.life;
         if let Some(bootstrap) = &mut self.bootstrap {
             bootstrap.resend_at = now;
-            bootstrap.until = now + Tenths(self.bounds.hold.0 * BOOTSTRAP_TIMEOUT_HOLDS);
-            bootstrap.proposal = Some(Message::Charter { era, asker, voters: voters.clone(), leader });
+            bootstrap.until = now + Tenths(self.settings.hold_time.0 * BOOTSTRAP_TIMEOUT_HOLDS);
+            bootstrap.proposal =
+                Some(Message::BootstrapProposal { era, initiator, voters: voters.clone(), leader });
         }
         self.send_bootstrap_messages(now);
-        self.on_bootstrap_proposal(now, era, asker, voters, leader);
+        self.on_bootstrap_proposal(now, era, initiator, voters, leader);
     }
 
     /// Accepts the configuration of a new era, if this instance's promise to its initiator still holds.
@@ -1411,7 +1418,7 @@
         self.persistent.voted_for = Some(leader);
         self.mark_dirty();
         self.events.push(Event::Bootstrapped { era });
-        let until = now + Tenths(self.bounds.hold.0 * BOOTSTRAP_TIMEOUT_HOLDS);
+        let until = now + Tenths(self.settings.hold_time.0 * BOOTSTRAP_TIMEOUT_HOLDS);
         (self.election_at, self.bootstrap_at) = (until, until + self.jitter());
         if leader == self.id {
             let acknowledged = BTreeSet::from([self.id.seat]);
@@ -1425,22 +1432,22 @@
     }
 
     fn resend_bootstrap_ack(&mut self, now: Tenths) {
-        let interval = self.bounds.beat();
+        let interval = self.settings.heartbeat_interval();
         let Some(ack) = &mut self.bootstrap_ack else { return };
         if now >= ack.resend_at {
             ack.resend_at = now + interval;
-            let (era, asker, to) = (ack.era, ack.initiator, ack.leader);
-            self.send(to, Message::Agreed { era, asker });
+            let (era, initiator, to) = (ack.era, ack.initiator, ack.leader);
+            self.send(to, Message::BootstrapAck { era, initiator });
         }
     }
 
-    fn on_bootstrap_ack(&mut self, now: Tenths, from: Seat, era: Era, asker: Life) {
+    fn on_bootstrap_ack(&mut self, now: Tenths, from: Seat, era: Era, acked_initiator: Life) {
         if self.persistent.term != Term::first_of_era(era) {
             // The acknowledgement overtook the proposal. It will be sent again.
             return;
         }
         if let Role::BootstrapLeader { initiator, acknowledged, .. } = &mut self.role {
-            if *initiator == asker {
+            if *initiator == acked_initiator {
                 acknowledged.insert(from);
             }
         }
@@ -1462,38 +1469,42 @@
     pub fn on_message(&mut self, now: Tenths, from: Seat, message: Message) {
         let voter = |memory| Voter { seat: from, memory };
         match message {
-            Message::PreVote { term, memory, last } => self.on_pre_vote(now, from, term, memory, last),
-            Message::PreVoted { term, memory, granted, own } => {
-                self.on_pre_vote_answer(now, voter(memory), term, granted, own);
+            Message::PreVoteRequest { term, memory, last } => self.on_pre_vote(now, from, term, memory, last),
+            Message::PreVoteAnswer { term, memory, granted, own_term } => {
+                self.on_pre_vote_answer(now, voter(memory), term, granted, own_term);
             }
-            Message::Vote { term, memory, last, handed } => {
-                self.on_vote_request(now, from, term, memory, last, handed);
+            Message::VoteRequest { term, memory, last, transfer_term } => {
+                self.on_vote_request(now, from, term, memory, last, transfer_term);
             }
-            Message::Voted { term, memory, granted } => {
+            Message::VoteAnswer { term, memory, granted } => {
                 self.on_vote_answer(now, voter(memory), term, granted);
             }
-            Message::Append { term, memory: _, round, before, commit, entries } => {
-                self.on_append(now, from, term, round, before, commit, entries);
+            Message::AppendRequest { term, memory: _, append_id, previous, commit, entries } => {
+                self.on_append(now, from, term, append_id, previous, commit, entries);
             }
-            Message::Appended { term, memory, round, matched, last, commit } => {
-                self.on_append_answer(now, voter(memory), term, round, matched, last, commit);
+            Message::AppendAnswer { term, memory, append_id, matched, last, commit } => {
+                self.on_append_answer(now, voter(memory), term, append_id, matched, last, commit);
             }
-            Message::HandOver { term } => self.on_timeout_now(now, from, term),
-            Message::Fetch { after, piece, of } => self.on_fetch(from, after, piece, of),
-            Message::Decrees { entries } => self.on_fetched_entries(now, from, entries),
-            Message::Piece { of, total, piece, bytes } => {
-                self.on_snapshot_piece(now, from, of, total, piece, bytes);
+            Message::TimeoutNow { term } => self.on_timeout_now(now, from, term),
+            Message::Fetch { after, piece, snapshot_number } => {
+                self.on_fetch(from, after, piece, snapshot_number)
             }
-            Message::Found { era, asker } => self.on_bootstrap_request(now, from, era, asker),
-            Message::FoundAnswer { asked, asker, busy, promised } => {
-                self.on_bootstrap_answer(now, from, asked, asker, busy, promised);
+            Message::FetchedEntries { entries } => self.on_fetched_entries(now, from, entries),
+            Message::SnapshotPiece { snapshot_number, total, piece, bytes } => {
+                self.on_snapshot_piece(now, from, snapshot_number, total, piece, bytes);
             }
-            Message::Charter { era, asker, voters, leader } => {
-                self.on_bootstrap_proposal(now, era, asker, voters, leader);
+            Message::BootstrapRequest { era, initiator } => {
+                self.on_bootstrap_request(now, from, era, initiator)
             }
-            Message::Agreed { era, asker } => self.on_bootstrap_ack(now, from, era, asker),
+            Message::BootstrapAnswer { era, initiator, refused, status } => {
+                self.on_bootstrap_answer(now, from, era, initiator, refused, status);
+            }
+            Message::BootstrapProposal { era, initiator, voters, leader } => {
+                self.on_bootstrap_proposal(now, era, initiator, voters, leader);
+            }
+            Message::BootstrapAck { era, initiator } => self.on_bootstrap_ack(now, from, era, initiator),
             Message::Hello | Message::Welcome { .. } => {}
-            Message::Ping { .. } | Message::Ack { .. } | Message::PingFor { .. } => {}
+            Message::Ping { .. } | Message::Ack { .. } | Message::PingReq { .. } => {}
         }
     }
 }
--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -78,10 +78,10 @@
             if let Some(leadership) = &launch.operators.leadership {
                 let b = &leadership.bounds;
                 let pool: Vec<u16> = b.pool.iter().map(|s| s.0).collect();
-                let (lease, disk) = (b.lease().0 / 10, leadership.state.is_some());
+                let (lease, disk) = (b.lease_time().0 / 10, leadership.state.is_some());
                 println!(
                     "leadership: {} voters of the seats {pool:?}, a lease of {lease} ms, with a disk: {disk}",
-                    b.voters
+                    b.voter_count
                 );
             }
             launch.missing.iter().for_each(|what| println!("not there on sockets: {what}"));
--- a/crates/stagepond-sidecar/src/leading.rs
+++ b/crates/stagepond-sidecar/src/leading.rs
@@ -11,7 +11,7 @@
 use stagepond_leadership::log::{Command, Subject, VoteChoice};
 use stagepond_leadership::planted::Planted;
 use stagepond_leadership::raft::PersistentState;
-use stagepond_leadership::seal::FORM;
+use stagepond_leadership::seal::FORMAT_BYTE;
 use stagepond_leadership::wire::Health;
 
 use crate::messages::{Effect, Standing};
@@ -88,7 +88,7 @@
 const MILLION: f64 = 1_000_000.0;
 
 pub fn is_for_leadership(words: &[u8]) -> bool {
-    words.first() == Some(&FORM)
+    words.first() == Some(&FORMAT_BYTE)
 }
 
 impl Leading {
@@ -100,7 +100,7 @@
             seat: Seat(me.0 as u16),
             life: Life(now.0 as u64),
             seed,
-            bounds: asked.bounds.clone(),
+            settings: asked.bounds.clone(),
             keys: asked.ring.keys(now),
             persisted: promises,
             planted: Planted::default(),
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -263,15 +263,15 @@
     fn mandate(now: Tenths) -> LeaderLease {
         use stagepond_leadership::ids::{Life, Seat};
         use stagepond_leadership::instance::{Input, Instance, InstanceConfig};
-        use stagepond_leadership::{bounds::Bounds, planted::Planted, seal::*};
-        let (bounds, keys) = (Bounds::usual(1), Keys::new(Key::new(1, &[7; 32]).unwrap()));
+        use stagepond_leadership::{planted::Planted, seal::*, settings::Settings};
+        let (bounds, keys) = (Settings::default_for(1), KeySet::new(Key::new(1, &[7; 32]).unwrap()));
         let (seat, life, planted) = (Seat(0), Life(1), Planted::default());
         let mut instance = Instance::new(InstanceConfig {
             now,
             seat,
             life,
             seed: 1,
-            bounds,
+            settings: bounds,
             keys,
             persisted: None,
             planted,
