--- a/crates/stagepond-leadership/src/planted.rs
+++ b/crates/stagepond-leadership/src/planted.rs
@@ -1,35 +1,41 @@
-//! Faults that a checker must find. Without the feature `planted` none can be switched on, and asking costs
-//! nothing. It must never be on in a program that serves.
+//! Faults that tests switch on, to check that the proof and the model checker find them.
+//!
+//! Without the feature `planted` no fault can be switched on and asking for one costs nothing. A program that
+//! serves must be built without it.
 
+/// A deliberate mistake in the protocol. The variants' names are values of `stagepond-lab`'s option `--planted`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing kept is found again, but the process takes itself for the old voter.
+    /// A process that restarts finds none of its persistent state but keeps its memory, so it still counts as
+    /// the same voter.
     TermForgotten,
-    /// The vote of a term is not kept with the term, nor the hold that a start begins with, which would hide it.
+    /// A process that restarts has lost its vote but not its term. It also skips the hold that follows a start,
+    /// which would hide the lost vote.
     VoteForgotten,
-    /// A lease as long as the hold, whatever the clocks do.
+    /// The lease lasts as long as the hold time, whatever the clock drift.
     LeaseWithoutDrift,
-    /// A candidate raises its term without asking first.
+    /// A candidate raises its term without a pre-vote.
     NoPreVote,
-    /// A mandate is not looked at again before it is used.
+    /// A lease passes its check after it has expired.
     ActAfterExpiry,
-    /// A voter grants although it holds for a leader.
+    /// A voter grants its vote although it holds for a leader.
     HoldIgnored,
-    /// The lease runs from the answers, not from the sending.
+    /// The lease runs from when the heartbeats are answered, not from when they were sent.
     LeaseFromAnswer,
-    /// A vote is granted to a candidate that lacks decrees.
+    /// A vote is granted to a candidate whose log is behind.
     StaleCandidate,
-    /// A decree is in force once one voter has it.
+    /// An entry is committed once one voter has it.
     CommitAlone,
-    /// Replacing a voter takes a quorum of the new set only.
+    /// Replacing a voter needs a quorum of the new configuration only.
     NoJointQuorum,
-    /// A leader that hands over keeps its mandate.
+    /// A leader that transfers its leadership keeps its lease.
     TransferKeepsMandate,
-    /// After a stop the hold is taken to have run out meanwhile.
+    /// After a pause the hold counts as expired.
     HoldForgottenAfterPause,
 }
 
 impl Fault {
+    /// All faults, in order of declaration.
     pub const ALL: [Fault; 12] = [
         Fault::TermForgotten,
         Fault::VoteForgotten,
@@ -46,15 +52,18 @@
     ];
 }
 
+/// The fault that is switched on, if any. `Planted::default()` is none, also with the feature.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Planted(#[cfg(feature = "planted")] Option<Fault>);
 
 impl Planted {
+    /// Switches on one fault.
     #[cfg(feature = "planted")]
     pub fn new(fault: Fault) -> Planted {
         Planted(Some(fault))
     }
 
+    /// Whether this fault is switched on; always false without the feature `planted`.
     #[inline]
     pub fn has(self, fault: Fault) -> bool {
         #[cfg(feature = "planted")]
