--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -122,7 +122,7 @@
 /// One process's part in leadership.
 pub struct Instance {
     settings: Settings,
-    seals: Sealer,
+    sealer: Sealer,
     members: Members,
     raft: RaftNode,
     /// The host's clock at the last input.
@@ -171,7 +171,7 @@
             None => empty,
         };
         Instance {
-            seals: Sealer::new(seat, life, settings.seats, keys),
+            sealer: Sealer::new(seat, life, settings.seats, keys),
             members: Members::new(now, seat, life, persistent.memory, &settings, seed),
             raft: RaftNode::new(now, life, persistent, &settings, seed, planted),
             settings,
@@ -215,7 +215,7 @@
             alive: self.members.count(Health::Alive),
             suspect: self.members.count(Health::Suspect),
             dead: self.members.count(Health::Dead) + self.members.count(Health::Left),
-            dropped: DropReason::ALL.iter().map(|d| (*d, self.seals.dropped[*d as usize])).collect(),
+            dropped: DropReason::ALL.iter().map(|d| (*d, self.sealer.dropped[*d as usize])).collect(),
         }
     }
 
@@ -253,9 +253,9 @@
                 self.members.leave(committed, &mut outbox);
             }
             Input::NewKey { key, old_until } => {
-                self.seals.keys().rotate(key, old_until + self.clock_offset);
+                self.sealer.keys().rotate(key, old_until + self.clock_offset);
             }
-            Input::AcceptKey { key, until } => self.seals.keys().accept(key, until + self.clock_offset),
+            Input::AcceptKey { key, until } => self.sealer.keys().accept(key, until + self.clock_offset),
         }
         let committed = self.raft.committed();
         if now >= self.members.next_due() {
@@ -277,19 +277,19 @@
         let events: Vec<Event> = self.raft.events.drain(..).collect();
         effects.extend(events.into_iter().map(|event| self.effect_of(event)));
         let changes: Vec<_> = self.members.changes.drain(..).collect();
-        for news in changes {
-            self.seals.learn_peer_life(news.seat, news.life);
-            effects.push(Effect::MemberChanged { seat: news.seat, health: news.health });
+        for state in changes {
+            self.sealer.learn_peer_life(state.seat, state.life);
+            effects.push(Effect::MemberChanged { seat: state.seat, health: state.health });
         }
         effects
     }
 
     fn sealed(&mut self, to: Seat, message: &Message) -> Effect {
         // While the life of the recipient is unknown, only `Hello` and `Welcome` may be sent to it.
-        let unknown = self.seals.peer_life(to) == Life(0);
+        let unknown = self.sealer.peer_life(to) == Life(0);
         let hello = unknown && !matches!(message, Message::Welcome { .. });
         let body = if hello { Message::Hello.encode() } else { message.encode() };
-        Effect::Send { to, bytes: self.seals.seal(to, &body) }
+        Effect::Send { to, bytes: self.sealer.seal(to, &body) }
     }
 
     /// Converts the expiry of a lease from the instance's clock to the host's.
@@ -312,8 +312,8 @@
 
     /// Converts the host's time to the instance's time, which never goes back.
     ///
-    /// If the clock was stepped back, or no input came for longer than the gap in the settings, the time that
-    /// really passed is unknown, and all timers that depend on it start again.
+    /// If the clock was stepped back, or no input came for longer than [`Settings::max_input_gap`], the time
+    /// that really passed is unknown, and all timers that depend on it start again.
     fn advance_clock(&mut self, now: Tenths) -> Tenths {
         let went_back = now < self.last_seen;
         let gap = now > self.last_seen + self.settings.max_input_gap();
@@ -330,10 +330,10 @@
     }
 
     fn on_datagram(&mut self, now: Tenths, bytes: &[u8], outbox: &mut Vec<(Seat, Message)>) {
-        let Some(opened) = self.seals.open(now, bytes) else { return };
+        let Some(opened) = self.sealer.open(now, bytes) else { return };
         let (from, life, to_me) = (opened.from, opened.life, opened.to_me);
         let Some(message) = Message::decode(opened.body) else {
-            return self.seals.count_dropped(DropReason::Garbled);
+            return self.sealer.count_dropped(DropReason::Garbled);
         };
         if !to_me {
             return self.on_unknown_process(now, from, life, message, outbox);
@@ -371,20 +371,20 @@
     fn on_unknown_process(
         &mut self, now: Tenths, from: Seat, life: Life, message: Message, outbox: &mut Vec<(Seat, Message)>,
     ) {
-        let known = self.seals.peer_life(from);
+        let known = self.sealer.peer_life(from);
         match message {
             Message::Welcome { highest_life } if highest_life >= self.members.life() && life == known => {
                 // The clock went back between two processes at this seat: the new life must exceed the old
                 // one.
                 let life = Life(highest_life.0 + 1);
-                self.seals.set_own_life(life);
+                self.sealer.set_own_life(life);
                 self.members.set_own_life(life);
             }
             Message::Welcome { .. } => {}
             _ if self.next_welcome_at.get(&from).is_none_or(|at| now >= *at) => {
                 self.next_welcome_at.insert(from, now + Tenths(self.settings.round_trip.0 / 2));
-                self.seals.learn_peer_life(from, life);
-                outbox.push((from, Message::Welcome { highest_life: self.seals.peer_life(from) }));
+                self.sealer.learn_peer_life(from, life);
+                outbox.push((from, Message::Welcome { highest_life: self.sealer.peer_life(from) }));
             }
             _ => {}
         }
--- a/crates/stagepond-leadership/src/lease.rs
+++ b/crates/stagepond-leadership/src/lease.rs
@@ -68,7 +68,7 @@
     /// Fails with [`LeaseExpired`] unless the lease is still valid at `now`.
     ///
     /// To be called directly before the write. A pause between this check and the write is tolerated up to
-    /// the margin in the settings, by which `expires_at` was shortened.
+    /// [`lease_margin`](crate::settings::Settings::lease_margin), by which `expires_at` was shortened.
     pub fn check(&self, now: Tenths) -> Result<(), LeaseExpired> {
         if now < self.expires_at || self.planted.has(Fault::ActAfterExpiry) {
             return Ok(());
--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -35,6 +35,8 @@
 const LEADERLESS_HOLDS_BEFORE_BOOTSTRAP: i64 = 12;
 /// Bytes of a message body that are reserved beside the entries of an answer to a fetch.
 const FETCHED_ENTRIES_OVERHEAD: usize = 8;
+/// Combined with the instance's seed, so that this module draws other numbers than the rest.
+const SEED_MASK: u64 = 0x1ead;
 
 /// Raft's persistent state (figure 2 of the paper): on disk if there is a disk.
 /// Its encoding follows the order of the fields.
@@ -82,18 +84,18 @@
     /// Raft's `matchIndex` and `nextIndex`.
     match_number: Number,
     next_number: Number,
-    /// The latest append sent to the follower, and the latest that it answered.
-    last_sent: u64,
-    last_answered: u64,
+    /// Identifiers of the latest append sent to the follower, and of the latest that it answered.
+    last_sent_id: u64,
+    last_answered_id: u64,
     answered_at: Tenths,
     /// Since when the follower has answered without a longer interruption.
     responsive_since: Tenths,
 }
 
-/// The first append of a heartbeat, and when it was sent.
+/// Identifier of the first append of a heartbeat, and when it was sent.
 #[derive(Clone, Debug, Hash)]
 struct HeartbeatRound {
-    first_append: u64,
+    first_append_id: u64,
     sent_at: Tenths,
 }
 
@@ -111,8 +113,8 @@
 #[derive(Clone, Debug, Hash)]
 struct LeaderState {
     followers: BTreeMap<Voter, Progress>,
-    /// Number of the latest append sent, to whichever follower.
-    last_append: u64,
+    /// Identifier of the latest append sent, to whichever follower. Each gets the next number.
+    last_append_id: u64,
     heartbeat_rounds: VecDeque<HeartbeatRound>,
     lease_until: Tenths,
     /// Position of the first entry of this leader's term.
@@ -294,7 +296,7 @@
             id,
             settings: settings.clone(),
             planted,
-            rng: fastrand::Rng::with_seed(seed ^ 0x1ead),
+            rng: fastrand::Rng::with_seed(seed ^ SEED_MASK),
             persistent,
             version: 0,
             dirty: false,
@@ -595,8 +597,8 @@
         self.count_votes(now);
     }
 
-    /// Starts an election in the next term. `transfer_term` is the term of a leader that transferred its leadership
-    /// here.
+    /// Starts an election in the next term. `transfer_term` is the term of a leader that transferred its
+    /// leadership here.
     fn start_election(&mut self, now: Tenths, transfer_term: Option<Term>) {
         self.persistent.term = self.persistent.term.next();
         self.persistent.voted_for = Some(self.id);
@@ -637,8 +639,8 @@
         let new = |_: Voter| Progress {
             match_number: Number(0),
             next_number,
-            last_sent: 0,
-            last_answered: 0,
+            last_sent_id: 0,
+            last_answered_id: 0,
             answered_at: now,
             responsive_since: now,
         };
@@ -652,7 +654,7 @@
         self.bootstrap = None;
         self.role = Role::Leader(Box::new(LeaderState {
             followers,
-            last_append: 0,
+            last_append_id: 0,
             heartbeat_rounds: VecDeque::new(),
             // The new leader has one lease time to get answers from a quorum. Before that it can't act, since
             // its first entry is not committed.
@@ -738,7 +740,7 @@
         let interval = self.settings.heartbeat_interval();
         let Role::Leader(leader) = &mut self.role else { return };
         leader.next_heartbeat_at = now + interval;
-        let round = HeartbeatRound { first_append: leader.last_append + 1, sent_at: now };
+        let round = HeartbeatRound { first_append_id: leader.last_append_id + 1, sent_at: now };
         leader.heartbeat_rounds.push_back(round);
         if leader.heartbeat_rounds.len() > MAX_HEARTBEAT_ROUNDS {
             leader.heartbeat_rounds.pop_front();
@@ -755,19 +757,19 @@
     fn send_append(&mut self, voter: Voter) {
         let Role::Leader(leader) = &mut self.role else { return };
         let Some(progress) = leader.followers.get_mut(&voter) else { return };
-        leader.last_append += 1;
-        progress.last_sent = leader.last_append;
+        leader.last_append_id += 1;
+        progress.last_sent_id = leader.last_append_id;
         let log = &self.persistent.log;
         // Entries up to the base are compacted. A follower that needs them sees the commit index and fetches
         // them.
-        let previous = Number(progress.next_number.0.saturating_sub(1)).max(log.base_number());
-        let previous_term = log.term_at(previous).unwrap_or_default();
-        let (term, memory, append_id) = (self.persistent.term, self.id.memory, leader.last_append);
-        let (previous, commit) = ((previous_term, previous), log.commit_number());
+        let previous_number = Number(progress.next_number.0.saturating_sub(1)).max(log.base_number());
+        let previous_term = log.term_at(previous_number).unwrap_or_default();
+        let (term, memory, append_id) = (self.persistent.term, self.id.memory, leader.last_append_id);
+        let (previous, commit) = ((previous_term, previous_number), log.commit_number());
         let append_with =
             |entries| Message::AppendRequest { term, memory, append_id, previous, commit, entries };
         let room = MAX_BODY_BYTES - append_with(Vec::new()).encode().len();
-        let message = append_with(take_fitting(log.entries_after(previous.1), room));
+        let message = append_with(take_fitting(log.entries_after(previous_number), room));
         self.send(voter.seat, message);
     }
 
@@ -843,8 +845,8 @@
             progress.responsive_since = now;
         }
         progress.answered_at = now;
-        progress.last_answered = progress.last_answered.max(append_id);
-        let is_latest = append_id == progress.last_sent;
+        progress.last_answered_id = progress.last_answered_id.max(append_id);
+        let is_latest = append_id == progress.last_sent_id;
         let own_last = self.persistent.log.last().1;
         let behind = match matched {
             Some(number) => {
@@ -875,13 +877,13 @@
         let (lease, hold) = (self.settings.lease_time(), self.settings.hold_time);
         let planted = self.planted;
         let Role::Leader(leader) = &mut self.role else { return };
-        let last_answered = |v: &Voter| match leader.followers.get(v) {
+        let last_answered_id = |v: &Voter| match leader.followers.get(v) {
             _ if *v == own_id => u64::MAX,
-            Some(progress) => progress.last_answered,
+            Some(progress) => progress.last_answered_id,
             None => 0,
         };
         let answered_by_quorum =
-            |round: &&HeartbeatRound| voters.has_quorum(|v| last_answered(v) >= round.first_append);
+            |round: &&HeartbeatRound| voters.has_quorum(|v| last_answered_id(v) >= round.first_append_id);
         let latest = leader.heartbeat_rounds.iter().rev().find(answered_by_quorum);
         if let Some(HeartbeatRound { sent_at, .. }) = latest {
             let until = match () {
@@ -969,8 +971,8 @@
             let new = Progress {
                 match_number: Number(0),
                 next_number,
-                last_sent: 0,
-                last_answered: 0,
+                last_sent_id: 0,
+                last_answered_id: 0,
                 answered_at: now,
                 responsive_since: now,
             };
@@ -1238,7 +1240,8 @@
         self.settings.pool.iter().filter(present).copied().collect()
     }
 
-    /// Whether a quorum of the voters, with their memories, is alive as far as the failure detector knows.
+    /// Whether a quorum of the voters, each with the memory it had, is alive as far as the failure detector
+    /// knows.
     fn quorum_seems_alive(&self, members: &Members) -> bool {
         let voters = self.voters();
         let alive = |v: &Voter| *v == self.id || members.memory(v.seat) == Some(v.memory);
