--- a/crates/stagepond-leadership/src/members.rs
+++ b/crates/stagepond-leadership/src/members.rs
@@ -1,9 +1,9 @@
 //! Failure detection: which instances are alive, by probes and gossip.
 //!
-//! This is SWIM (Das, Gupta and Motivala 2002) with three refinements of Lifeguard (Dadgar, Phillips and Currey
-//! 2017): a suspicion times out sooner when other members confirm it, probes wait longer while this instance
-//! itself seems slow, and a suspected member is told so first. The load of each member does not depend on how
-//! many there are.
+//! This is SWIM (Das, Gupta and Motivala 2002) with three refinements of Lifeguard (Dadgar, Phillips and
+//! Currey 2017): a suspicion times out sooner when other members confirm it, probes wait longer while this
+//! instance itself seems slow, and a suspected member is told so first. The load of each member does not
+//! depend on how many there are.
 //!
 //! The module only reports what is known of each seat. Voters and leaders are chosen in [`crate::raft`].
 
@@ -27,8 +27,8 @@
 const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0;
 /// Highest value of the local slowness; see [`Members`].
 const MAX_SLOWNESS: u32 = 7;
-/// Every so many probes may go to a seat that is dead or has left, so that members find each other again after a
-/// network partition.
+/// Every so many probes may go to a seat that is dead or has left, so that members find each other again
+/// after a network partition.
 const DEAD_PROBE_PERIOD: u32 = 6;
 /// Indirect probes that this instance makes for others at one time.
 const MAX_RELAYS: usize = 32;
@@ -88,8 +88,8 @@
 
 /// The failure detector of one instance.
 ///
-/// Slowness counts signs that this instance itself is slow, such as its own probes that fail. It is Lifeguard's
-/// local health multiplier: each step adds one base timeout to the timeouts of probes.
+/// Slowness counts signs that this instance itself is slow, such as its own probes that fail. It is
+/// Lifeguard's local health multiplier: each step adds one base timeout to the timeouts of probes.
 pub struct Members {
     /// The state of this instance.
     me: MemberState,
@@ -200,7 +200,8 @@
         })
     }
 
-    /// Raises the life of this process, because others know a higher one from an earlier process at this seat.
+    /// Raises the life of this process, because others know a higher one from an earlier process at this
+    /// seat.
     pub fn set_own_life(&mut self, life: Life) {
         if self.me.memory == Some(Memory(0)) {
             self.me.memory = Some(Memory(self.me.life.0));
@@ -220,8 +221,8 @@
         self.broadcasts.insert(0, Broadcast { transmissions: 0, seat });
     }
 
-    /// The gossip for a message to `to`. If `to` is not alive as far as is known here, that comes first, so that
-    /// it can refute it soon (Lifeguard's buddy system).
+    /// The gossip for a message to `to`. If `to` is not alive as far as is known here, that comes first, so
+    /// that it can refute it soon (Lifeguard's buddy system).
     pub fn gossip(&mut self, to: Seat, committed: (Term, Number)) -> Gossip {
         let max_transmissions = (TRANSMISSIONS_PER_DOUBLING * self.log2_seats()) as u32;
         let mut states: Vec<MemberState> =
@@ -291,8 +292,8 @@
         })
     }
 
-    /// The clock was stepped, or this process was paused. Datagrams that arrived meanwhile must be read before
-    /// anybody is suspected, so timeouts start again.
+    /// The clock was stepped, or this process was paused. Datagrams that arrived meanwhile must be read
+    /// before anybody is suspected, so timeouts start again.
     pub fn on_clock_anomaly(&mut self, now: Tenths) {
         self.raise_slowness(2);
         if let Some(probe) = &mut self.probe {
--- a/crates/stagepond-leadership/src/planted.rs
+++ b/crates/stagepond-leadership/src/planted.rs
@@ -3,14 +3,15 @@
 //! Without the feature `planted` no fault can be switched on and asking for one costs nothing. A program that
 //! serves must be built without it.
 
-/// A deliberate mistake in the protocol. The variants' names are values of `stagepond-lab`'s option `--planted`.
+/// A deliberate mistake in the protocol. The variants' names are values of `stagepond-lab`'s option
+/// `--planted`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// A process that restarts finds none of its persistent state but keeps its memory, so it still counts as
     /// the same voter.
     TermForgotten,
-    /// A process that restarts has lost its vote but not its term. It also skips the hold that follows a start,
-    /// which would hide the lost vote.
+    /// A process that restarts has lost its vote but not its term. It also skips the hold that follows a
+    /// start, which would hide the lost vote.
     VoteForgotten,
     /// The lease lasts as long as the hold time, whatever the clock drift.
     LeaseWithoutDrift,
--- a/crates/stagepond-leadership/src/seal.rs
+++ b/crates/stagepond-leadership/src/seal.rs
@@ -1,8 +1,8 @@
 //! Authentication of datagrams between instances.
 //!
-//! All instances share secret keys. A datagram is accepted once, by the process it is addressed to, and only if
-//! it was sealed with one of the keys. The body is not encrypted, and this module does not look into it. Secrets
-//! never leave it: a key shows only its number.
+//! All instances share secret keys. A datagram is accepted once, by the process it is addressed to, and only
+//! if it was sealed with one of the keys. The body is not encrypted, and this module does not look into it.
+//! Secrets never leave it: a key shows only its number.
 //!
 //! A sealed datagram consists of a header, the body and an authentication code. Numbers are little-endian.
 //!
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Raises the life of this process, because others know a higher one from an earlier process at this seat.
+    /// Raises the life of this process, because others know a higher one from an earlier process at this
+    /// seat.
     pub fn set_own_life(&mut self, life: Life) {
         self.life = life;
     }
--- a/crates/stagepond-leadership/src/settings.rs
+++ b/crates/stagepond-leadership/src/settings.rs
@@ -22,8 +22,8 @@
     /// Taken off the end of a lease, to cover the time between the lease's last check and the write that it
     /// permits.
     pub lease_margin: Tenths,
-    /// Longest time for which a lease is granted at once. A leadership transfer waits this long, until no lease
-    /// granted before it can still be valid.
+    /// Longest time for which a lease is granted at once. A leadership transfer waits this long, until no
+    /// lease granted before it can still be valid.
     pub max_grant_time: Tenths,
     /// Upper end of the usual round trip between two instances.
     pub round_trip: Tenths,
--- a/crates/stagepond-leadership/src/wire.rs
+++ b/crates/stagepond-leadership/src/wire.rs
@@ -1,8 +1,9 @@
 //! The messages between instances, and their limits.
 //!
-//! A message is encoded as [postcard](https://postcard.jamesmunns.com/wire-format) and sent in a sealed datagram
-//! ([`crate::seal`]). Postcard encodes variants and fields by their order of declaration, so that order must not
-//! change. What a message means is decided in [`crate::members`] and [`crate::raft`], not here.
+//! A message is encoded as [postcard](https://postcard.jamesmunns.com/wire-format) and sent in a sealed
+//! datagram ([`crate::seal`]). Postcard encodes variants and fields by their order of declaration, so that
+//! order must not change. What a message means is decided in [`crate::members`] and [`crate::raft`], not
+//! here.
 
 use serde::{Deserialize, Serialize};
 
@@ -43,8 +44,8 @@
     /// SWIM's incarnation number, which the member raises to refute a suspicion.
     pub incarnation: u32,
     pub health: Health,
-    /// For a suspected member: the instance whose probe it did not answer. Instances that only pass the state on
-    /// do not count as a confirmation of the suspicion. For other members it has no meaning.
+    /// For a suspected member: the instance whose probe it did not answer. Instances that only pass the state
+    /// on do not count as a confirmation of the suspicion. For other members it has no meaning.
     pub suspected_by: Seat,
     /// `None` if the member is known only by its datagrams, which do not tell its memory.
     ///
@@ -89,7 +90,8 @@
 pub enum Message {
     /// Asks a process whose life the sender does not know for a [`Message::Welcome`].
     Hello,
-    /// Answers a [`Message::Hello`], or a message that was addressed to an earlier process at the sender's seat.
+    /// Answers a [`Message::Hello`], or a message that was addressed to an earlier process at the sender's
+    /// seat.
     Welcome {
         /// The highest life that the sender knows at the recipient's seat.
         highest_life: Life,
@@ -106,8 +108,8 @@
     /// Asks the recipient to probe `target` for the sender (SWIM's ping-req).
     PingReq { nonce: u32, target: Seat, gossip: Gossip },
 
-    /// Asks whether the recipient would vote for the sender in `term`. The answer binds nobody (Raft's pre-vote,
-    /// Ongaro 2014, section 9.6).
+    /// Asks whether the recipient would vote for the sender in `term`. The answer binds nobody (Raft's
+    /// pre-vote, Ongaro 2014, section 9.6).
     PreVoteRequest {
         term: Term,
         memory: Memory,
@@ -206,8 +208,8 @@
         /// The leader of the era's first term: the instance with the longest log.
         leader: Voter,
     },
-    /// Tells the leader of an era that the sender has accepted the proposal. The era begins once the whole pool
-    /// has.
+    /// Tells the leader of an era that the sender has accepted the proposal. The era begins once the whole
+    /// pool has.
     BootstrapAck { era: Era, initiator: Life },
 }
 
@@ -268,7 +270,9 @@
     proptest! {
         /// Any bytes either fail to decode or decode to a message that encodes and decodes to itself.
         #[test]
-        fn decode_accepts_arbitrary_bytes_without_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+        fn decode_of_arbitrary_bytes_neither_panics_nor_overallocates(
+            bytes in proptest::collection::vec(any::<u8>(), 0..300)
+        ) {
             if let Some(message) = Message::decode(&bytes) {
                 prop_assert_eq!(Message::decode(&message.encode()), Some(message));
             }
