--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -14,7 +14,7 @@
 use stagepond_leadership::log::{Command, Subject, VoteChoice};
 use stagepond_leadership::planted::Planted;
 use stagepond_leadership::raft::PersistentState;
-use stagepond_leadership::seal::FORM;
+use stagepond_leadership::seal::FORMAT_BYTE;
 use stagepond_leadership::wire::Health;
 
 use crate::messages::{Effect, RolloutStatus};
@@ -86,7 +86,7 @@
 /// Whether a datagram belongs to the leadership protocol, by its first byte. The decision module's messages
 /// never begin with that byte.
 pub fn is_leadership_datagram(bytes: &[u8]) -> bool {
-    bytes.first() == Some(&FORM)
+    bytes.first() == Some(&FORMAT_BYTE)
 }
 
 impl LeadershipController {
@@ -101,7 +101,7 @@
             seat: Seat(own_peer.0 as u16),
             life: Life(now.0 as u64),
             seed,
-            bounds: config.bounds.clone(),
+            settings: config.bounds.clone(),
             keys: config.key_ring.keys_at(now),
             persisted,
             planted: Planted::default(),
