--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -711,9 +711,9 @@
     fn on_rollout_status(&mut self, result: Result<RolloutStatus, Ending>, answers_vote: bool) {
         let result = match (result, &mut self.leadership) {
             (Ok(status), Some(leadership)) => {
-                let (allowed, came) = leadership.on_rollout_status(self.host.now, status);
-                self.step_leadership(|_, _| came);
-                Ok(allowed)
+                let (allowed_status, step) = leadership.on_rollout_status(self.host.now, status);
+                self.step_leadership(|_, _| step);
+                Ok(allowed_status)
             }
             (result, _) => result,
         };
