--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -105,13 +105,13 @@
 }
 
 fn print_leadership(leadership: &LeadershipConfig) {
-    let bounds = &leadership.bounds;
-    let pool: Vec<u16> = bounds.pool.iter().map(|seat| seat.0).collect();
-    let lease_ms = bounds.lease_time().0 / 10;
+    let settings = &leadership.settings;
+    let pool: Vec<u16> = settings.pool.iter().map(|seat| seat.0).collect();
+    let lease_ms = settings.lease_time().0 / 10;
     let storage = if leadership.state_file.is_some() { "stored on disk" } else { "in memory only" };
     println!(
         "leadership: {} voters from the seats {pool:?}, a lease of {lease_ms} ms, voter state {storage}",
-        bounds.voter_count
+        settings.voter_count
     );
 }
 
--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -101,7 +101,7 @@
             seat: Seat(own_peer.0 as u16),
             life: Life(now.0 as u64),
             seed,
-            settings: config.bounds.clone(),
+            settings: config.settings.clone(),
             keys: config.key_ring.keys_at(now),
             persisted,
             planted: Planted::default(),
