--- a/crates/stagepond-ctl/src/tuf.rs
+++ b/crates/stagepond-ctl/src/tuf.rs
@@ -12,12 +12,12 @@
 use anyhow::{bail, Context, Result};
 use clap::Subcommand;
 use serde_json::json;
-use stagepond_tuf::client::{Came, Client, Floors, Limits, Refusal};
-use stagepond_tuf::form::{Second, ROOT, SNAPSHOT, TARGETS, TIMESTAMP};
-use stagepond_tuf::keys::Secret;
+use stagepond_tuf::client::{Client, Limits, MetadataError, Progress, VersionFloors};
+use stagepond_tuf::keys::SigningKey;
+use stagepond_tuf::metadata::{UnixSeconds, ROOT, SNAPSHOT, TARGETS, TIMESTAMP};
 use stagepond_tuf::planted::Planted;
-use stagepond_tuf::repository::{Repository, Terms, Written};
-use stagepond_tuf::target::{describe, Checking};
+use stagepond_tuf::repository::{ExpiryPeriods, MetadataFile, Repository};
+use stagepond_tuf::target::{describe_target, TargetVerifier};
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -78,7 +78,7 @@
 
 /// Exit codes: 0 well, 1 could not be done, 2 wrong words on the command line, 3 not current, 4 not signed as it
 /// must be, 5 older than or other than what was announced, 6 not readable or not there.
-fn code(refusal: &Refusal) -> u8 {
+fn code(refusal: &MetadataError) -> u8 {
     match refusal.kind() {
         "expired" => 3,
         "threshold" => 4,
@@ -89,8 +89,8 @@
 
 const FILE: &str = "repository.json";
 
-fn now() -> Second {
-    Second(jiff::Timestamp::now().as_second())
+fn now() -> UnixSeconds {
+    UnixSeconds(jiff::Timestamp::now().as_second())
 }
 
 /// Whole or not at all, also when the machine stops amid it.
@@ -115,10 +115,10 @@
     write(&folder.join(FILE), &serde_json::to_vec_pretty(repository)?, 0o644)
 }
 
-fn new_keys(folder: &Path, role: &str, count: usize) -> Result<Vec<Secret>> {
+fn new_keys(folder: &Path, role: &str, count: usize) -> Result<Vec<SigningKey>> {
     let mut secrets = Vec::new();
     for _ in 0..count {
-        let (secret, pkcs8) = Secret::generate()?;
+        let (secret, pkcs8) = SigningKey::generate()?;
         write(&folder.join("keys").join(format!("{role}-{}.pk8", &secret.id().0[..16])), &pkcs8, 0o600)?;
         secrets.push(secret);
     }
@@ -126,7 +126,7 @@
 }
 
 /// All keys at hand. One that others may read is refused: it is no key any more.
-fn secrets(folder: &Path) -> Result<Vec<Secret>> {
+fn secrets(folder: &Path) -> Result<Vec<SigningKey>> {
     let mut secrets = Vec::new();
     let keys = folder.join("keys");
     for entry in fs::read_dir(&keys).with_context(|| keys.display().to_string())? {
@@ -141,14 +141,14 @@
                 path.display()
             );
         }
-        secrets.push(Secret::read(&fs::read(&path)?).with_context(|| path.display().to_string())?);
+        secrets.push(SigningKey::from_pkcs8(&fs::read(&path)?).with_context(|| path.display().to_string())?);
     }
     Ok(secrets)
 }
 
 /// In the order given, each whole before the next: the timestamp comes last and makes the release.
-fn publish(folder: &Path, written: &[Written]) -> Result<()> {
-    for Written { path, bytes } in written {
+fn publish(folder: &Path, written: &[MetadataFile]) -> Result<()> {
+    for MetadataFile { path, bytes } in written {
         let to = folder.join("metadata").join(path);
         if path != "timestamp.json" && to.exists() {
             bail!("{}: was published already", to.display());
@@ -166,10 +166,11 @@
         fs::create_dir_all(folder.join(part))?;
     }
     fs::set_permissions(folder.join("keys"), std::os::unix::fs::PermissionsExt::from_mode(0o700))?;
-    let made: BTreeMap<&str, Vec<Secret>> = [(ROOT, keys), (TARGETS, keys), (SNAPSHOT, 1), (TIMESTAMP, 1)]
-        .into_iter()
-        .map(|(role, count)| Ok((role, new_keys(folder, role, count)?)))
-        .collect::<Result<_>>()?;
+    let made: BTreeMap<&str, Vec<SigningKey>> =
+        [(ROOT, keys), (TARGETS, keys), (SNAPSHOT, 1), (TIMESTAMP, 1)]
+            .into_iter()
+            .map(|(role, count)| Ok((role, new_keys(folder, role, count)?)))
+            .collect::<Result<_>>()?;
     let roles = made
         .iter()
         .map(|(role, secrets)| {
@@ -177,8 +178,8 @@
             (role.to_string(), (secrets.iter().collect(), needed))
         })
         .collect();
-    let mut repository = Repository::new(&roles, Terms::default())?;
-    let by: Vec<&Secret> = made[ROOT].iter().collect();
+    let mut repository = Repository::new(&roles, ExpiryPeriods::default())?;
+    let by: Vec<&SigningKey> = made[ROOT].iter().collect();
     let root = repository.publish_root(&by, now())?;
     publish(folder, &[root])?;
     write_state(folder, &repository)?;
@@ -198,7 +199,7 @@
     if name.split('/').any(odd) {
         bail!("--as: {name:?} leads elsewhere");
     }
-    let target = describe(&bytes);
+    let target = describe_target(&bytes);
     let (parent, last) = name.rsplit_once('/').unwrap_or(("", &name));
     let to = folder.join("targets").join(parent);
     fs::create_dir_all(&to)?;
@@ -214,10 +215,10 @@
     let old = secrets(folder)?;
     let new = new_keys(folder, role, keys)?;
     let by_old = repository.root.roles[ROOT].clone();
-    repository.rotate(role, &new.iter().collect::<Vec<_>>(), threshold)?;
+    repository.rotate_keys(role, &new.iter().collect::<Vec<_>>(), threshold)?;
     let root_keys = &repository.root.roles[ROOT].keyids;
-    let signs = |s: &&Secret| by_old.keyids.contains(s.id()) || root_keys.contains(s.id());
-    let by: Vec<&Secret> = old.iter().chain(&new).filter(signs).collect();
+    let signs = |s: &&SigningKey| by_old.keyids.contains(s.id()) || root_keys.contains(s.id());
+    let by: Vec<&SigningKey> = old.iter().chain(&new).filter(signs).collect();
     let from_old = by.iter().filter(|s| by_old.keyids.contains(s.id())).count();
     if from_old < by_old.threshold as usize {
         bail!("{from_old} keys of the present root at hand, {} are needed", by_old.threshold);
@@ -229,18 +230,20 @@
 }
 
 /// Reads files of the folder as a client asks for them.
-fn carry(client: &mut Client, folder: &Path, first: Result<Came, Refusal>) -> Result<Came, Refusal> {
+fn carry(
+    client: &mut Client, folder: &Path, first: Result<Progress, MetadataError>,
+) -> Result<Progress, MetadataError> {
     use std::io::Read;
     let mut came = first;
     loop {
         let want = match came? {
-            Came::More(want) => want,
+            Progress::NeedFile(want) => want,
             end => return Ok(end),
         };
         let mut bytes = Vec::new();
         let file = File::open(folder.join("metadata").join(&want.path));
-        let read = file.and_then(|file| file.take(want.limit + 1).read_to_end(&mut bytes));
-        came = if read.is_ok() { client.came(&bytes) } else { client.missing() };
+        let read = file.and_then(|file| file.take(want.max_bytes + 1).read_to_end(&mut bytes));
+        came = if read.is_ok() { client.on_file(&bytes) } else { client.on_file_missing() };
     }
 }
 
@@ -250,34 +253,34 @@
     code: u8,
 }
 
-fn refused(refusal: Refusal) -> Failed {
+fn refused(refusal: MetadataError) -> Failed {
     Failed { why: refusal.to_string(), kind: refusal.kind(), code: code(&refusal) }
 }
 
-fn verify(folder: &Path, root: &Path, targets: &[String], at: Second) -> Result<Client, Failed> {
+fn verify(folder: &Path, root: &Path, targets: &[String], at: UnixSeconds) -> Result<Client, Failed> {
     let other = |why: String| Failed { why, kind: "unreadable", code: 6 };
     let bytes = fs::read(root).map_err(|e| other(format!("{}: {e}", root.display())))?;
-    let mut client =
-        Client::new(&bytes, Floors::default(), Limits::default(), Planted::default()).map_err(refused)?;
+    let mut client = Client::new(&bytes, VersionFloors::default(), Limits::default(), Planted::default())
+        .map_err(refused)?;
     let want = client.refresh(at);
-    carry(&mut client, folder, Ok(Came::More(want))).map_err(refused)?;
+    carry(&mut client, folder, Ok(Progress::NeedFile(want))).map_err(refused)?;
     for name in targets {
-        let first = client.find(at, 0, name);
-        let Came::Found { target, .. } = carry(&mut client, folder, first).map_err(refused)? else {
+        let first = client.find_target(at, 0, name);
+        let Progress::TargetFound { target, .. } = carry(&mut client, folder, first).map_err(refused)? else {
             continue;
         };
         let path = folder.join("targets").join(client.target_path(name, &target));
         let bytes = fs::read(&path).map_err(|e| other(format!("{}: {e}", path.display())))?;
-        let mut checking = Checking::of(&target, Planted::default());
-        let checked = checking.came(&bytes).and_then(|()| checking.ends());
+        let mut checking = TargetVerifier::new(&target, Planted::default());
+        let checked = checking.update(&bytes).and_then(|()| checking.finish());
         checked.map_err(|why| Failed { why: format!("{name}: {why}"), kind: "target", code: 5 })?;
     }
     Ok(client)
 }
 
-fn table(client: &Client, at: Second) {
+fn table(client: &Client, at: UnixSeconds) {
     println!("{:<10} {:>8}  {:<21} left", "role", "version", "ends");
-    for (role, version, ends) in client.trusted() {
+    for (role, version, ends) in client.trusted_roles() {
         let left = ends.0 - at.0;
         println!(
             "{role:<10} {:>8}  {:<21} {} h {} min",
@@ -290,7 +293,7 @@
 }
 
 fn report(client: &Client) -> serde_json::Value {
-    let roles = client.trusted().into_iter();
+    let roles = client.trusted_roles().into_iter();
     let roles: Vec<_> = roles
         .map(|(role, v, ends)| json!({"role": role, "version": v.0, "expires": ends.to_string()}))
         .collect();
@@ -319,7 +322,7 @@
         })(),
         Command::Rotate { folder, role, keys, threshold } => rotate(&folder, &role, keys, threshold),
         Command::Verify { folder, root, target, json, at } => {
-            let at = at.map_or_else(now, |at| Second(at.as_second()));
+            let at = at.map_or_else(now, |at| UnixSeconds(at.as_second()));
             let root = root.unwrap_or_else(|| folder.join("metadata/1.root.json"));
             return match verify(&folder, &root, &target, at) {
                 Ok(client) if json => {
@@ -343,7 +346,7 @@
         Command::Show { folder, json } => {
             let root = folder.join("metadata/1.root.json");
             // Also what has ended is shown: so as of the beginning.
-            return match verify(&folder, &root, &[], Second(0)) {
+            return match verify(&folder, &root, &[], UnixSeconds(0)) {
                 Ok(client) => {
                     if json {
                         println!("{}", report(&client));
--- a/crates/stagepond-sidecar/src/keeping.rs
+++ b/crates/stagepond-sidecar/src/keeping.rs
@@ -9,7 +9,7 @@
 use anyhow::{bail, Context, Result};
 use stagepond_leadership::ids::Seat;
 use stagepond_leadership::raft::PersistentState;
-use stagepond_tuf::client::Kept;
+use stagepond_tuf::client::TrustedState;
 use tokio::sync::mpsc;
 
 use crate::messages::Input;
@@ -54,14 +54,14 @@
 }
 
 /// What was trusted before. What can't be read is an error: without it a rollback would pass.
-pub fn read_trusted(path: &Path) -> Result<Option<Kept>> {
+pub fn read_trusted(path: &Path) -> Result<Option<TrustedState>> {
     let at = || format!("tuf.state: {}", path.display());
     let Some(body) = read_as(path, TRUSTED, at)? else { return Ok(None) };
     Ok(Some(serde_json::from_slice(&body).with_context(at)?))
 }
 
 /// Keeps what is trusted as it comes, off the loop.
-pub async fn keep_trusted(path: PathBuf, mut wanted: mpsc::UnboundedReceiver<Kept>) {
+pub async fn keep_trusted(path: PathBuf, mut wanted: mpsc::UnboundedReceiver<TrustedState>) {
     while let Some(kept) = wanted.recv().await {
         let Ok(bytes) = serde_json::to_vec(&kept) else { return };
         let to = path.clone();
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -237,7 +237,7 @@
     /// Log an event of metadata verification.
     LogVerificationEvent(crate::verifying::Told),
     /// Write the trusted metadata to disk in full.
-    PersistTrustedMetadata(stagepond_tuf::client::Kept),
+    PersistTrustedMetadata(stagepond_tuf::client::TrustedState),
     /// Ask discovery for the full pod list again.
     RequestPodSnapshot,
     /// Read the configuration file again and report [`Input::ConfigRead`].
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -12,8 +12,8 @@
 use stagepond_leadership::bounds::Bounds;
 use stagepond_leadership::ids::Seat;
 use stagepond_leadership::seal::{Key, Keys};
-use stagepond_tuf::client::Floors;
-use stagepond_tuf::form::Version;
+use stagepond_tuf::client::VersionFloors;
+use stagepond_tuf::metadata::Version;
 
 use crate::verifying::{Asked, Ended, Verifying};
 
@@ -226,7 +226,7 @@
         None => Ended::Refuse,
     };
     let FloorsForm { root: r, timestamp, snapshot, targets } = form.floors;
-    let floors = Floors {
+    let floors = VersionFloors {
         root: Version(r),
         timestamp: Version(timestamp),
         snapshot: Version(snapshot),
--- a/crates/stagepond-sidecar/src/verifying_stories.rs
+++ b/crates/stagepond-sidecar/src/verifying_stories.rs
@@ -7,11 +7,11 @@
 use hyper::Method;
 use rstest::rstest;
 use stagepond::host::*;
-use stagepond_tuf::client::{Floors, Kept};
-use stagepond_tuf::form::{Second, ROOT, SNAPSHOT, TARGETS, TIMESTAMP};
-use stagepond_tuf::keys::Secret;
-use stagepond_tuf::repository::{Repository, Terms, Written};
-use stagepond_tuf::target::describe;
+use stagepond_tuf::client::{TrustedState, VersionFloors};
+use stagepond_tuf::keys::SigningKey;
+use stagepond_tuf::metadata::{UnixSeconds, ROOT, SNAPSHOT, TARGETS, TIMESTAMP};
+use stagepond_tuf::repository::{ExpiryPeriods, MetadataFile, Repository};
+use stagepond_tuf::target::describe_target;
 
 use crate::messages::*;
 use crate::reducer_tests::{pod_entry, test_facts, ReducerHarness, START_TIME};
@@ -22,32 +22,36 @@
 const HOUR: i64 = 3600;
 
 struct Repo {
-    secret: Secret,
+    secret: SigningKey,
     repository: Repository,
     files: BTreeMap<String, Vec<u8>>,
 }
 
 impl Repo {
     fn new() -> Repo {
-        let secret = Secret::from_seed([9; 32]);
+        let secret = SigningKey::from_seed([9; 32]);
         let keys = || (vec![&secret], 1);
         let roles = [ROOT, TARGETS, SNAPSHOT, TIMESTAMP].map(|role| (role.to_string(), keys())).into();
-        let terms =
-            Terms { root: 900 * HOUR, targets: 900 * HOUR, snapshot: 48 * HOUR, timestamp: 24 * HOUR };
+        let terms = ExpiryPeriods {
+            root: 900 * HOUR,
+            targets: 900 * HOUR,
+            snapshot: 48 * HOUR,
+            timestamp: 24 * HOUR,
+        };
         let mut repository = Repository::new(&roles, terms).unwrap();
         let root = repository.publish_root(&[&secret], now(START_TIME)).unwrap();
         Repo { files: [(root.path, root.bytes)].into(), secret, repository }
     }
 
     fn publish(&mut self, pack: &[u8], at: Tenths) {
-        self.repository.targets.targets.insert(PACK.into(), describe(pack));
+        self.repository.targets.targets.insert(PACK.into(), describe_target(pack));
         let written = self.repository.publish(&[&self.secret], now(at)).unwrap();
-        self.files.extend(written.into_iter().map(|Written { path, bytes }| (path, bytes)));
+        self.files.extend(written.into_iter().map(|MetadataFile { path, bytes }| (path, bytes)));
     }
 }
 
-fn now(at: Tenths) -> Second {
-    Second(at.0 / 10_000)
+fn now(at: Tenths) -> UnixSeconds {
+    UnixSeconds(at.0 / 10_000)
 }
 
 struct Evening {
@@ -58,18 +62,26 @@
     /// Nothing of the metadata is to be had.
     away: bool,
     fetched: usize,
-    kept: Option<Kept>,
+    kept: Option<TrustedState>,
     answers: Vec<(InvocationNumber, FinalAnswer)>,
     next: u64,
 }
 
 impl Evening {
-    fn begins(packs: &[&str], ended: Ended, kept: Option<Kept>, repo: Repo) -> Evening {
+    fn begins(packs: &[&str], ended: Ended, kept: Option<TrustedState>, repo: Repo) -> Evening {
         let root = repo.files["1.root.json"].clone();
         let (op, targets, metadata) = (Op(0), "/round-pack/".to_string(), METADATA.to_string());
         let refresh_every = Tenths::ms(60_000);
-        let asked =
-            Asked { op, targets, metadata, root, kept, refresh_every, ended, floors: Floors::default() };
+        let asked = Asked {
+            op,
+            targets,
+            metadata,
+            root,
+            kept,
+            refresh_every,
+            ended,
+            floors: VersionFloors::default(),
+        };
         let rows = (1..=packs.len() as u16).map(|n| pod_entry(n, 1)).collect();
         let verifying = Verifying::new(START_TIME, asked, 1).unwrap();
         let story = ReducerHarness::with_parts(test_facts(), rows, None, Some(verifying));
@@ -196,7 +208,7 @@
 fn what_nobody_signed_is_refused_by_name() {
     let mut evening = Evening::usual(&["the good pack"]);
     evening.repo.repository.targets.targets.clear();
-    let secret = Secret::from_seed([9; 32]);
+    let secret = SigningKey::from_seed([9; 32]);
     let written = evening.repo.repository.publish(&[&secret], now(evening.story.now)).unwrap();
     evening.repo.files.extend(written.into_iter().map(|w| (w.path, w.bytes)));
     evening.pass(Tenths::ms(90_000));
--- a/crates/stagepond-tuf/src/index.rs
+++ b/crates/stagepond-tuf/src/index.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::form::Target;
+use crate::metadata::Target;
 
 /// Paths in one block: a search reads half of one on average.
 const BLOCK: usize = 16;
@@ -12,20 +12,20 @@
 
 /// What is kept of a target: its length and SHA-256.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Packed {
+pub struct IndexEntry {
     pub length: u64,
     pub sha256: [u8; SUM],
 }
 
-impl Packed {
-    pub fn of(target: &Target) -> Option<Packed> {
+impl IndexEntry {
+    pub fn from_target(target: &Target) -> Option<IndexEntry> {
         let sum = hex::decode(target.hashes.get("sha256")?).ok()?;
-        Some(Packed { length: target.length, sha256: sum.try_into().ok()? })
+        Some(IndexEntry { length: target.length, sha256: sum.try_into().ok()? })
     }
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct TargetIndex {
     bytes: Vec<u8>,
     /// Where each block begins.
     blocks: Vec<u32>,
@@ -53,10 +53,10 @@
     None
 }
 
-impl Index {
+impl TargetIndex {
     /// From paths in order, each once; a `BTreeMap` gives them so.
-    pub fn build<'a>(targets: impl Iterator<Item = (&'a str, Packed)>) -> Index {
-        let mut index = Index::default();
+    pub fn from_sorted<'a>(targets: impl Iterator<Item = (&'a str, IndexEntry)>) -> TargetIndex {
+        let mut index = TargetIndex::default();
         let mut last = String::new();
         for (path, packed) in targets {
             debug_assert!(index.len == 0 || last.as_str() < path, "paths rise");
@@ -79,8 +79,12 @@
         index
     }
 
-    pub fn of(targets: &BTreeMap<String, Target>) -> Index {
-        Index::build(targets.iter().filter_map(|(path, target)| Some((path.as_str(), Packed::of(target)?))))
+    pub fn from_targets(targets: &BTreeMap<String, Target>) -> TargetIndex {
+        TargetIndex::from_sorted(
+            targets
+                .iter()
+                .filter_map(|(path, target)| Some((path.as_str(), IndexEntry::from_target(target)?))),
+        )
     }
 
     pub fn len(&self) -> usize {
@@ -90,7 +94,7 @@
         self.len == 0
     }
     /// Bytes that it holds.
-    pub fn memory(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         self.bytes.capacity() + self.blocks.capacity() * size_of::<u32>()
     }
 
@@ -100,7 +104,7 @@
         &bytes[..len as usize]
     }
 
-    pub fn get(&self, path: &str) -> Option<Packed> {
+    pub fn get(&self, path: &str) -> Option<IndexEntry> {
         let wanted = path.as_bytes();
         let (mut low, mut high) = (0, self.blocks.len());
         while low < high {
@@ -133,7 +137,7 @@
             let more = added.iter().zip(&wanted[same..]).take_while(|(a, b)| a == b).count();
             matched = same + more;
             if matched == wanted.len() && more == added.len() {
-                return Some(Packed { length, sha256: sum.try_into().ok()? });
+                return Some(IndexEntry { length, sha256: sum.try_into().ok()? });
             }
             if more < added.len() && (matched == wanted.len() || added[more] > wanted[matched]) {
                 return None;
@@ -149,16 +153,16 @@
 
     use super::*;
 
-    fn packed(n: u64) -> Packed {
-        Packed { length: n, sha256: [n as u8; SUM] }
+    fn packed(n: u64) -> IndexEntry {
+        IndexEntry { length: n, sha256: [n as u8; SUM] }
     }
 
     proptest! {
         #[test]
         fn as_the_plain_map_says(paths in proptest::collection::btree_set("[ab/]{0,6}", 0..80), asked in "[ab/]{0,6}") {
-            let plain: BTreeMap<&str, Packed> =
+            let plain: BTreeMap<&str, IndexEntry> =
                 paths.iter().enumerate().map(|(n, path)| (path.as_str(), packed(n as u64 * 1000))).collect();
-            let index = Index::build(plain.iter().map(|(path, packed)| (*path, *packed)));
+            let index = TargetIndex::from_sorted(plain.iter().map(|(path, packed)| (*path, *packed)));
             prop_assert_eq!(index.len(), plain.len());
             prop_assert_eq!(index.get(&asked), plain.get(asked.as_str()).copied());
             for (path, packed) in &plain {
--- a/crates/stagepond-tuf/src/lib.rs
+++ b/crates/stagepond-tuf/src/lib.rs
@@ -2,15 +2,15 @@
 //! Verification takes trusted state and bytes and gives a new trusted state, the next file wanted or a typed
 //! refusal; no file, socket or clock. `docs/tuf.md` has the reasons.
 //!
-//! From below: [`form`] (the metadata as typed values), [`keys`] (signatures and thresholds), [`paths`] (which
+//! From below: [`metadata`] (the metadata as typed values), [`keys`] (signatures and thresholds), [`paths`] (which
 //! delegation a target belongs to), [`client`] (the workflow of section 5), [`target`] (a target's bytes as they
 //! come), [`index`] (large sets of targets), [`repository`] (making, signing, rotating), [`uptane`] (two
 //! repositories that must agree).
 
 pub mod client;
-pub mod form;
 pub mod index;
 pub mod keys;
+pub mod metadata;
 pub mod paths;
 pub mod planted;
 pub mod repository;
--- a/crates/stagepond-tuf/src/planted.rs
+++ b/crates/stagepond-tuf/src/planted.rs
@@ -48,7 +48,7 @@
 
 impl Planted {
     #[cfg(feature = "planted")]
-    pub fn one(fault: Fault) -> Planted {
+    pub fn new(fault: Fault) -> Planted {
         Planted(Some(fault))
     }
 
