--- a/crates/stagepond-tuf/src/lib.rs
+++ b/crates/stagepond-tuf/src/lib.rs
@@ -1,11 +1,17 @@
-//! TUF metadata (The Update Framework, specification 1.0.x): what passes is what was signed, and current.
-//! Verification takes trusted state and bytes and gives a new trusted state, the next file wanted or a typed
-//! refusal; no file, socket or clock. `docs/tuf.md` has the reasons.
+//! The Update Framework (TUF, specification 1.0.x) without I/O or clocks: verification, signing and publication of
+//! metadata. Verification takes the trusted state and the bytes of a file, and returns a new trusted state, a request
+//! for the next file or a typed error. `docs/tuf.md` explains the design.
 //!
-//! From below: [`metadata`] (the metadata as typed values), [`keys`] (signatures and thresholds), [`paths`] (which
-//! delegation a target belongs to), [`client`] (the workflow of section 5), [`target`] (a target's bytes as they
-//! come), [`index`] (large sets of targets), [`repository`] (making, signing, rotating), [`uptane`] (two
-//! repositories that must agree).
+//! From the bottom up:
+//! - [`metadata`]: the file formats as typed values
+//! - [`keys`]: signatures and thresholds
+//! - [`paths`]: which delegation covers a target
+//! - [`client`]: the client workflow (section 5)
+//! - [`target`]: verification of a target's bytes
+//! - [`index`]: compact index of many targets
+//! - [`repository`]: signing, key rotation and publication
+//! - [`uptane`]: Uptane's director and image repositories
+//! - [`planted`]: faults for checkers to find
 
 pub mod client;
 pub mod index;
--- a/crates/stagepond-tuf/src/planted.rs
+++ b/crates/stagepond-tuf/src/planted.rs
@@ -1,33 +1,36 @@
-//! Faults that a checker must find. Without the feature `planted` none can be switched on, and asking costs
-//! nothing. It must never be on in a program that serves.
+//! Planted faults: deliberate omissions of a check that a checker must find. Without the feature `planted` none can be
+//! switched on, and asking costs nothing. The feature must never be on in a program that serves.
 
+/// A check that is left out or weakened. The variants' names are values on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Signatures of one key count as often as they stand there.
+    /// Each signature counts towards the threshold, even several of one key.
     SameKeyTwice,
-    /// A threshold of one is enough.
+    /// Every threshold is treated as one.
     AnyOne,
-    /// Any key of the root may sign for any role.
+    /// Any key listed in the delegating file counts for any role, not only the role's own keys.
     AnyRole,
-    /// A new root is not held against the old one's keys.
+    /// A new root need not be signed by the keys of the trusted root.
     NewRootAlone,
-    /// Older versions are taken.
+    /// Older versions are accepted: rollback attacks succeed.
     RollbackTaken,
-    /// Expiry is not looked at.
+    /// Expiry is not checked: freeze attacks succeed.
     ExpiryIgnored,
-    /// A snapshot need not hold what the one before held.
+    /// A snapshot may omit roles that the trusted snapshot lists.
     DropTaken,
-    /// What a snapshot says of a file is not compared with it.
+    /// Version, length and hashes in a timestamp or snapshot are not compared with the file: mix-and-match attacks
+    /// succeed.
     MixTaken,
-    /// Length and hashes of a target are not compared.
+    /// Length and hashes of a target are not checked.
     TargetUnchecked,
-    /// A delegation may speak for any path.
+    /// A delegated role may list any path.
     PathIgnored,
-    /// Files of any length are read.
+    /// Files of any length are read: endless data attacks succeed.
     EndlessRead,
 }
 
 impl Fault {
+    /// All faults, in the order of declaration.
     pub const ALL: [Fault; 11] = [
         Fault::SameKeyTwice,
         Fault::AnyOne,
@@ -43,15 +46,18 @@
     ];
 }
 
+/// The planted fault, if any. Without the feature `planted` this type is empty and always means none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Planted(#[cfg(feature = "planted")] Option<Fault>);
 
 impl Planted {
+    /// Plants one fault.
     #[cfg(feature = "planted")]
     pub fn new(fault: Fault) -> Planted {
         Planted(Some(fault))
     }
 
+    /// Whether this fault is planted.
     #[inline]
     pub fn has(self, fault: Fault) -> bool {
         #[cfg(feature = "planted")]
--- a/crates/stagepond-tuf/src/repository.rs
+++ b/crates/stagepond-tuf/src/repository.rs
@@ -1,6 +1,6 @@
-//! A repository: roles and keys, targets, new versions signed by a threshold, keys that change. It makes bytes
-//! and their order; who writes them is the caller's matter. A release is written in the order given, its
-//! timestamp last, so that no reader sees half of one.
+//! The repository side of TUF: roles and keys, targets, key rotation, and new file versions signed by a threshold of
+//! keys (specification, section 6). It produces the bytes of the files and leaves writing them to the caller. The files
+//! of a release are to be written in the order returned, the timestamp last, so that no client sees half a release.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,22 @@
 use crate::keys::{SigningError, SigningKey};
 use crate::metadata::*;
 
+/// Why a repository can't be created, changed or published.
 #[derive(Debug, thiserror::Error)]
 pub enum RepositoryError {
-    #[error("{role}: {have} keys at hand, {threshold} are needed")]
+    /// Fewer keys of the role were passed than its threshold requires.
+    #[error("{role}: {have} keys available, threshold is {threshold}")]
     NotEnoughKeys { role: String, have: usize, threshold: u32 },
     #[error("{0}")]
     Format(#[from] FormatError),
     #[error("{0}")]
     Signing(#[from] SigningError),
-    #[error("no role {0:?}")]
+    /// The root does not list this top-level role.
+    #[error("unknown role {0:?}")]
     UnknownRole(String),
 }
 
-/// For how many seconds each role's files count.
+/// How long the files of each role are valid after signing, in seconds. Delegated roles use `targets`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ExpiryPeriods {
     pub root: i64,
@@ -32,68 +35,90 @@
 
 impl Default for ExpiryPeriods {
     fn default() -> ExpiryPeriods {
-        let day = 86_400;
-        ExpiryPeriods { root: 365 * day, targets: 90 * day, snapshot: 7 * day, timestamp: day }
+        const DAY: i64 = 86_400;
+        ExpiryPeriods { root: 365 * DAY, targets: 90 * DAY, snapshot: 7 * DAY, timestamp: DAY }
     }
 }
 
-/// A file to be written, by its name in the folder of metadata.
+/// A signed file to write at `path` in the metadata folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetadataFile {
     pub path: String,
     pub bytes: Vec<u8>,
 }
 
-/// What a repository is before it is signed.
+/// The content of a repository before it is signed. It is stored as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Repository {
     pub root: Root,
+    /// The top-level targets and their delegations.
     pub targets: Targets,
-    /// Delegated roles by name.
+    /// Targets of the delegated roles by role name.
     pub delegated: BTreeMap<String, Targets>,
+    /// The latest version signed for each role.
     pub versions: BTreeMap<String, Version>,
     #[serde(rename = "terms")]
     pub expiry_periods: ExpiryPeriods,
 }
 
-fn keys_of(secrets: &[&SigningKey]) -> (BTreeMap<KeyId, Key>, Vec<KeyId>) {
-    let keys = secrets.iter().map(|s| (s.id().clone(), s.public_key().clone())).collect();
-    (keys, secrets.iter().map(|s| s.id().clone()).collect())
+fn public_keys(signing_keys: &[&SigningKey]) -> (BTreeMap<KeyId, Key>, Vec<KeyId>) {
+    let keys = signing_keys.iter().map(|s| (s.id().clone(), s.public_key().clone())).collect();
+    (keys, signing_keys.iter().map(|s| s.id().clone()).collect())
 }
 
-/// Signs the signed part of a file by each of these.
-pub fn sign_metadata(signed: &serde_json::Value, by: &[&SigningKey]) -> Result<Vec<u8>, RepositoryError> {
+/// Signs the signed part of a file with each key and returns the whole file in canonical form.
+///
+/// # Errors
+/// [`RepositoryError::Format`] or [`RepositoryError::Signing`].
+pub fn sign_metadata(
+    signed: &serde_json::Value, signers: &[&SigningKey],
+) -> Result<Vec<u8>, RepositoryError> {
     let bytes = canonical_json(signed)?;
-    let signatures = by.iter().map(|secret| secret.sign(&bytes)).collect::<Result<Vec<_>, _>>()?;
+    let signatures = signers.iter().map(|key| key.sign(&bytes)).collect::<Result<Vec<_>, _>>()?;
     let file = serde_json::json!({ "signatures": signatures, "signed": signed });
     Ok(canonical_json(&file)?)
 }
 
 impl Repository {
-    /// A new one: for each top-level role its keys and how many of them must sign.
+    /// Creates a repository with consistent snapshots. `roles` gives the keys and the threshold of each top-level
+    /// role.
+    ///
+    /// # Errors
+    /// [`RepositoryError::UnknownRole`] if a top-level role is missing, [`RepositoryError::Format`] if a role's keys
+    /// or threshold are invalid.
     pub fn new(
         roles: &BTreeMap<String, (Vec<&SigningKey>, u32)>, expiry_periods: ExpiryPeriods,
     ) -> Result<Repository, RepositoryError> {
         let mut root = Root { consistent_snapshot: true, keys: BTreeMap::new(), roles: BTreeMap::new() };
         for role in [ROOT, TIMESTAMP, SNAPSHOT, TARGETS] {
-            let (secrets, threshold) =
+            let (signing_keys, threshold) =
                 roles.get(role).ok_or_else(|| RepositoryError::UnknownRole(role.into()))?;
-            let (keys, keyids) = keys_of(secrets);
+            let (keys, keyids) = public_keys(signing_keys);
             root.keys.extend(keys);
             root.roles.insert(role.into(), RoleKeys { keyids, threshold: *threshold });
         }
-        root.validate().map_err(|why| RepositoryError::Format(FormatError::Field(why)))?;
-        let (targets, delegated, versions) = Default::default();
-        Ok(Repository { root, targets, delegated, versions, expiry_periods })
+        root.validate().map_err(|reason| RepositoryError::Format(FormatError::Field(reason)))?;
+        Ok(Repository {
+            root,
+            targets: Targets::default(),
+            delegated: BTreeMap::new(),
+            versions: BTreeMap::new(),
+            expiry_periods,
+        })
     }
 
-    /// Another set of keys for a role, from the next root on.
+    /// Replaces the keys and the threshold of a top-level role; this takes effect with the next root. Keys that no
+    /// role uses any more are removed.
+    ///
+    /// # Errors
+    /// [`RepositoryError::UnknownRole`].
     pub fn rotate_keys(
-        &mut self, role: &str, secrets: &[&SigningKey], threshold: u32,
+        &mut self, role: &str, signing_keys: &[&SigningKey], threshold: u32,
     ) -> Result<(), RepositoryError> {
-        let (keys, keyids) = keys_of(secrets);
-        let had = self.root.roles.get_mut(role).ok_or_else(|| RepositoryError::UnknownRole(role.into()))?;
-        *had = RoleKeys { keyids, threshold };
+        let (keys, keyids) = public_keys(signing_keys);
+        let role_keys =
+            self.root.roles.get_mut(role).ok_or_else(|| RepositoryError::UnknownRole(role.into()))?;
+        *role_keys = RoleKeys { keyids, threshold };
         self.root.keys.extend(keys);
         let used = |id: &KeyId| self.root.roles.values().any(|r| r.keyids.contains(id));
         let unused: Vec<KeyId> = self.root.keys.keys().filter(|id| !used(id)).cloned().collect();
@@ -101,27 +126,31 @@
         Ok(())
     }
 
-    /// Lets another role speak for some paths.
-    pub fn add_delegation(&mut self, role: Delegation, keys: &[&SigningKey], targets: Targets) {
+    /// Delegates paths to a role with these keys and targets. An earlier delegation to the same role is replaced.
+    pub fn add_delegation(&mut self, delegation: Delegation, keys: &[&SigningKey], targets: Targets) {
         let delegations = self.targets.delegations.get_or_insert_with(Delegations::default);
-        delegations.keys.extend(keys_of(keys).0);
-        self.delegated.insert(role.name.0.clone(), targets);
-        delegations.roles.retain(|r| r.name != role.name);
-        delegations.roles.push(role);
+        delegations.keys.extend(public_keys(keys).0);
+        self.delegated.insert(delegation.name.0.clone(), targets);
+        delegations.roles.retain(|r| r.name != delegation.name);
+        delegations.roles.push(delegation);
     }
 
-    fn next(&mut self, role: &str) -> Version {
+    fn next_version(&mut self, role: &str) -> Version {
         let version = self.versions.entry(role.into()).or_default();
         version.0 += 1;
         *version
     }
 
-    /// A new root, signed by the keys that the one before names and by those that it names itself.
+    /// Signs the next version of the root (section 6.1). `signers` has to hold a threshold of the new root's keys;
+    /// clients require a threshold of the previous root's keys as well, which is not checked here.
+    ///
+    /// # Errors
+    /// [`RepositoryError::NotEnoughKeys`], or a failure to sign.
     pub fn publish_root(
-        &mut self, by: &[&SigningKey], now: UnixSeconds,
+        &mut self, signers: &[&SigningKey], now: UnixSeconds,
     ) -> Result<MetadataFile, RepositoryError> {
         let keys = self.root.roles[ROOT].clone();
-        let have = by.iter().filter(|s| keys.keyids.contains(s.id())).count();
+        let have = signers.iter().filter(|s| keys.keyids.contains(s.id())).count();
         if have < keys.threshold as usize {
             return Err(RepositoryError::NotEnoughKeys {
                 role: ROOT.into(),
@@ -129,45 +158,50 @@
                 threshold: keys.threshold,
             });
         }
-        let version = self.next(ROOT);
+        let version = self.next_version(ROOT);
         let bytes = sign_metadata(
             &signed_portion(&self.root, version, UnixSeconds(now.0 + self.expiry_periods.root))?,
-            by,
+            signers,
         )?;
         Ok(MetadataFile { path: format!("{}.root.json", version.0), bytes })
     }
 
-    fn by<'a>(
-        &self, role: &str, keys: &RoleKeys, secrets: &[&'a SigningKey],
+    /// The keys of a role among those passed.
+    fn signers<'a>(
+        &self, role: &str, keys: &RoleKeys, signing_keys: &[&'a SigningKey],
     ) -> Result<Vec<&'a SigningKey>, RepositoryError> {
-        let by: Vec<&SigningKey> = secrets.iter().copied().filter(|s| keys.keyids.contains(s.id())).collect();
-        if by.len() < keys.threshold as usize {
+        let signers: Vec<&SigningKey> =
+            signing_keys.iter().copied().filter(|s| keys.keyids.contains(s.id())).collect();
+        if signers.len() < keys.threshold as usize {
             return Err(RepositoryError::NotEnoughKeys {
                 role: role.into(),
-                have: by.len(),
+                have: signers.len(),
                 threshold: keys.threshold,
             });
         }
-        Ok(by)
+        Ok(signers)
     }
 
-    /// A whole release: targets, delegated roles, snapshot, timestamp, to be written in this order. Nothing is
-    /// changed if a key is missing.
+    /// Signs a release and returns its files in the order in which to write them: targets, delegated roles, snapshot,
+    /// timestamp. An error leaves the repository unchanged.
+    ///
+    /// # Errors
+    /// [`RepositoryError::NotEnoughKeys`], or a failure to sign.
     pub fn publish(
-        &mut self, secrets: &[&SigningKey], now: UnixSeconds,
+        &mut self, signing_keys: &[&SigningKey], now: UnixSeconds,
     ) -> Result<Vec<MetadataFile>, RepositoryError> {
-        let mut next = self.clone();
-        let written = next.release(secrets, now)?;
-        *self = next;
-        Ok(written)
+        let mut updated = self.clone();
+        let files = updated.sign_release(signing_keys, now)?;
+        *self = updated;
+        Ok(files)
     }
 
-    fn release(
-        &mut self, secrets: &[&SigningKey], now: UnixSeconds,
+    fn sign_release(
+        &mut self, signing_keys: &[&SigningKey], now: UnixSeconds,
     ) -> Result<Vec<MetadataFile>, RepositoryError> {
-        let mut written = Vec::new();
+        let mut release = Vec::new();
         let mut meta = BTreeMap::new();
-        let ends = UnixSeconds(now.0 + self.expiry_periods.targets);
+        let expires = UnixSeconds(now.0 + self.expiry_periods.targets);
         let delegations = self.targets.delegations.clone().unwrap_or_default();
         let mut files = vec![(TARGETS.to_string(), self.root.roles[TARGETS].clone(), self.targets.clone())];
         for role in &delegations.roles {
@@ -176,36 +210,37 @@
             files.push((role.name.0.clone(), keys, targets));
         }
         for (role, keys, targets) in files {
-            let by = self.by(&role, &keys, secrets)?;
-            let version = self.next(&role);
-            let bytes = sign_metadata(&signed_portion(&targets, version, ends)?, &by)?;
-            meta.insert(format!("{role}.json"), seen(version, &bytes));
-            written.push(MetadataFile { path: format!("{}.{role}.json", version.0), bytes });
+            let signers = self.signers(&role, &keys, signing_keys)?;
+            let version = self.next_version(&role);
+            let bytes = sign_metadata(&signed_portion(&targets, version, expires)?, &signers)?;
+            meta.insert(format!("{role}.json"), describe_file(version, &bytes));
+            release.push(MetadataFile { path: format!("{}.{role}.json", version.0), bytes });
         }
-        let by = self.by(SNAPSHOT, &self.root.roles[SNAPSHOT].clone(), secrets)?;
-        let version = self.next(SNAPSHOT);
+        let signers = self.signers(SNAPSHOT, &self.root.roles[SNAPSHOT].clone(), signing_keys)?;
+        let version = self.next_version(SNAPSHOT);
         let snapshot =
             signed_portion(&Snapshot { meta }, version, UnixSeconds(now.0 + self.expiry_periods.snapshot))?;
-        let bytes = sign_metadata(&snapshot, &by)?;
-        let announced = seen(version, &bytes);
-        written.push(MetadataFile { path: format!("{}.snapshot.json", version.0), bytes });
-        written.push(self.timestamp(announced, secrets, now)?);
-        Ok(written)
+        let bytes = sign_metadata(&snapshot, &signers)?;
+        let described_snapshot = describe_file(version, &bytes);
+        release.push(MetadataFile { path: format!("{}.snapshot.json", version.0), bytes });
+        release.push(self.sign_timestamp(described_snapshot, signing_keys, now)?);
+        Ok(release)
     }
 
-    fn timestamp(
-        &mut self, snapshot: FileDescription, secrets: &[&SigningKey], now: UnixSeconds,
+    fn sign_timestamp(
+        &mut self, snapshot: FileDescription, signing_keys: &[&SigningKey], now: UnixSeconds,
     ) -> Result<MetadataFile, RepositoryError> {
-        let by = self.by(TIMESTAMP, &self.root.roles[TIMESTAMP].clone(), secrets)?;
-        let version = self.next(TIMESTAMP);
+        let signers = self.signers(TIMESTAMP, &self.root.roles[TIMESTAMP].clone(), signing_keys)?;
+        let version = self.next_version(TIMESTAMP);
         let meta = [("snapshot.json".to_string(), snapshot)].into();
         let timestamp =
             signed_portion(&Timestamp { meta }, version, UnixSeconds(now.0 + self.expiry_periods.timestamp))?;
-        Ok(MetadataFile { path: "timestamp.json".into(), bytes: sign_metadata(&timestamp, &by)? })
+        Ok(MetadataFile { path: "timestamp.json".into(), bytes: sign_metadata(&timestamp, &signers)? })
     }
 }
 
-fn seen(version: Version, bytes: &[u8]) -> FileDescription {
+/// The entry of a signed file in a snapshot or timestamp: version, length and SHA-256.
+fn describe_file(version: Version, bytes: &[u8]) -> FileDescription {
     let described = crate::target::describe_target(bytes);
     let hashes = described.hashes.into_iter().filter(|(name, _)| name == "sha256").collect();
     FileDescription { version, length: Some(described.length), hashes }
