--- a/crates/stagepond-tuf/src/client.rs
+++ b/crates/stagepond-tuf/src/client.rs
@@ -1,6 +1,7 @@
-//! The client workflow (TUF specification, section 5) without I/O. [`Client`] says which file it needs next and how
-//! long that file may be, takes the bytes and returns the next request, the result or a typed error. A file is
-//! trusted only after every check on it has passed, and the version of a trusted file is never forgotten.
+//! The client workflow (TUF specification, section 5) without I/O. [`Client`] says which file it needs next
+//! and how long that file may be, takes the bytes and returns the next request, the result or a typed error.
+//! A file is trusted only after every check on it has passed, and the version of a trusted file is never
+//! forgotten.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,7 +22,8 @@
     pub timestamp_bytes: u64,
     /// Length of a snapshot file, in bytes. A shorter length in the timestamp file takes precedence.
     pub snapshot_bytes: u64,
-    /// Length of a targets file of any role, in bytes. A shorter length in the snapshot file takes precedence.
+    /// Length of a targets file of any role, in bytes. A shorter length in the snapshot file takes
+    /// precedence.
     pub targets_bytes: u64,
     /// New root versions accepted in one refresh.
     pub max_new_roots: u32,
@@ -125,8 +127,8 @@
     pub max_bytes: u64,
 }
 
-/// The trusted top-level metadata, byte for byte as received. It has to survive a restart: a client that lost the
-/// trusted versions would accept a rollback.
+/// The trusted top-level metadata, byte for byte as received. It has to survive a restart: a client that lost
+/// the trusted versions would accept a rollback.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrustedState {
     pub root: Vec<u8>,
@@ -181,8 +183,8 @@
     TargetFound { target: Target, role: RoleName },
 }
 
-/// A TUF client for one repository. [`Client::refresh`] updates the top-level metadata, [`Client::find_target`]
-/// then searches for a target.
+/// A TUF client for one repository. [`Client::refresh`] updates the top-level metadata,
+/// [`Client::find_target`] then searches for a target.
 pub struct Client {
     root: SignedMetadata<Root>,
     root_bytes: Vec<u8>,
@@ -197,8 +199,8 @@
     /// Fixed at the start of each refresh or search, so that all files are checked against the same time
     /// (section 5.1).
     now: UnixSeconds,
-    /// The latest time seen. Time never goes back: otherwise a clock that is set back would make expired files
-    /// valid again.
+    /// The latest time seen. Time never goes back: otherwise a clock that is set back would make expired
+    /// files valid again.
     latest_time: UnixSeconds,
     /// Root versions accepted in the current refresh.
     new_root_count: u32,
@@ -219,8 +221,8 @@
     /// Starts from a root that is trusted already (section 5.2): shipped with the program or stored earlier.
     ///
     /// # Errors
-    /// [`MetadataError::Malformed`] if `root` can't be parsed, [`MetadataError::ThresholdNotMet`] if it is not
-    /// signed by its own root keys.
+    /// [`MetadataError::Malformed`] if `root` can't be parsed, [`MetadataError::ThresholdNotMet`] if it is
+    /// not signed by its own root keys.
     pub fn new(
         root: &[u8], floors: VersionFloors, limits: Limits, planted: Planted,
     ) -> Result<Client, MetadataError> {
@@ -247,8 +249,8 @@
         Ok(client)
     }
 
-    /// Starts from the state that an earlier process stored. Expiry is not checked here: expired metadata still
-    /// serves for the rollback checks of the next refresh.
+    /// Starts from the state that an earlier process stored. Expiry is not checked here: expired metadata
+    /// still serves for the rollback checks of the next refresh.
     ///
     /// # Errors
     /// [`MetadataError::Malformed`] or [`MetadataError::ThresholdNotMet`] for a file of the stored state.
@@ -304,8 +306,8 @@
         self.now = self.latest_time;
     }
 
-    /// Starts a refresh (sections 5.3 to 5.6) at the time `now` and abandons a search that is under way. The first
-    /// request is for the next root version.
+    /// Starts a refresh (sections 5.3 to 5.6) at the time `now` and abandons a search that is under way. The
+    /// first request is for the next root version.
     pub fn refresh(&mut self, now: UnixSeconds) -> FileRequest {
         self.advance_time(now);
         self.search = None;
@@ -328,8 +330,8 @@
         }
     }
 
-    /// Tells the client that the requested file does not exist. A missing next root ends the root updates (section
-    /// 5.3.3); any other missing file ends the workflow.
+    /// Tells the client that the requested file does not exist. A missing next root ends the root updates
+    /// (section 5.3.3); any other missing file ends the workflow.
     ///
     /// # Errors
     /// [`MetadataError::NotFound`], [`MetadataError::NotRequested`], or a failed check of the trusted root.
@@ -346,8 +348,8 @@
         Err(MetadataError::NotFound { role })
     }
 
-    /// Passes the requested file to the client. An error ends the workflow. A refused file changes nothing that is
-    /// trusted; root versions accepted before it stay trusted (section 5.3.8).
+    /// Passes the requested file to the client. An error ends the workflow. A refused file changes nothing
+    /// that is trusted; root versions accepted before it stay trusted (section 5.3.8).
     ///
     /// # Errors
     /// The check that failed; [`MetadataError::NotRequested`] if no request is open.
@@ -411,8 +413,8 @@
         Ok(())
     }
 
-    /// Updates the root (section 5.3): a new root is signed by a threshold of the keys of the trusted root and of
-    /// its own keys, and its version is exactly the next one.
+    /// Updates the root (section 5.3): a new root is signed by a threshold of the keys of the trusted root
+    /// and of its own keys, and its version is exactly the next one.
     fn on_root(&mut self, bytes: &[u8]) -> Result<Progress, MetadataError> {
         self.check_length(ROOT, bytes, self.limits.root_bytes)?;
         if self.new_root_count >= self.limits.max_new_roots {
@@ -440,8 +442,8 @@
             };
             keys_and_threshold(&self.root.signed) != keys_and_threshold(&file.signed)
         };
-        // Fast-forward recovery (section 5.3.11): an attacker with the old keys may have pushed the version to the
-        // maximum. With new keys, the versions that the old keys signed no longer count.
+        // Fast-forward recovery (section 5.3.11): an attacker with the old keys may have pushed the version
+        // to the maximum. With new keys, the versions that the old keys signed no longer count.
         if keys_changed(TIMESTAMP) || keys_changed(SNAPSHOT) {
             self.timestamp = None;
             self.snapshot = None;
@@ -513,8 +515,8 @@
         Ok(Progress::UpToDate)
     }
 
-    /// Compares a file's length and its known hashes with those in the metadata that lists it (sections 5.5.2 and
-    /// 5.6.2).
+    /// Compares a file's length and its known hashes with those in the metadata that lists it (sections 5.5.2
+    /// and 5.6.2).
     fn check_content(
         &self, role: &str, described: &FileDescription, bytes: &[u8],
     ) -> Result<(), MetadataError> {
@@ -617,8 +619,9 @@
         self.check_all_expiries()
     }
 
-    /// Starts a search for the target at `path` (section 5.6.7). The trusted metadata must not have expired more
-    /// than `grace` seconds before `now`. A caller that allows a grace period has to report it to its operators.
+    /// Starts a search for the target at `path` (section 5.6.7). The trusted metadata must not have expired
+    /// more than `grace` seconds before `now`. A caller that allows a grace period has to report it to its
+    /// operators.
     ///
     /// # Errors
     /// [`MetadataError::Expired`], [`MetadataError::NotFound`] if no targets metadata is trusted yet,
@@ -687,8 +690,8 @@
         Err(MetadataError::TargetNotFound(search.path))
     }
 
-    /// Checks the targets metadata of a delegated role by the keys that its parent lists, then goes on with the
-    /// search.
+    /// Checks the targets metadata of a delegated role by the keys that its parent lists, then goes on with
+    /// the search.
     fn on_delegated_targets(
         &mut self, path: String, role: RoleName, parent: &RoleName, bytes: &[u8],
     ) -> Result<Progress, MetadataError> {
@@ -734,8 +737,8 @@
         self.targets.retain(|role, _| *role == top_level_targets());
     }
 
-    /// Path of a target's file relative to the repository's targets folder: with consistent snapshots the hash
-    /// precedes the file name (section 5.7.3).
+    /// Path of a target's file relative to the repository's targets folder: with consistent snapshots the
+    /// hash precedes the file name (section 5.7.3).
     pub fn target_path(&self, path: &str, target: &Target) -> String {
         let hash = target.hashes.get("sha256").or_else(|| target.hashes.get("sha512"));
         match (self.root.signed.consistent_snapshot, hash, path.rsplit_once('/')) {
--- a/crates/stagepond-tuf/src/index.rs
+++ b/crates/stagepond-tuf/src/index.rs
@@ -1,6 +1,6 @@
-//! A compact in-memory index of many targets. Sorted paths are grouped into blocks; within a block each path is stored
-//! as the length of the prefix that it shares with the one before and the rest (front coding). A lookup is a binary
-//! search over the first path of each block, followed by a scan of one block.
+//! A compact in-memory index of many targets. Sorted paths are grouped into blocks; within a block each path
+//! is stored as the length of the prefix that it shares with the one before and the rest (front coding). A
+//! lookup is a binary search over the first path of each block, followed by a scan of one block.
 
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
     }
 }
 
-/// Index from target path to [`IndexEntry`]. Each entry holds shared length, rest length, rest, target length (all
-/// lengths as LEB128) and SHA-256.
+/// Index from target path to [`IndexEntry`]. Each entry holds shared length, rest length, rest, target length
+/// (all lengths as LEB128) and SHA-256.
 #[derive(Clone, Debug, Default)]
 pub struct TargetIndex {
     bytes: Vec<u8>,
--- a/crates/stagepond-tuf/src/keys.rs
+++ b/crates/stagepond-tuf/src/keys.rs
@@ -1,6 +1,6 @@
 //! Keys, signatures and thresholds (TUF specification, sections 4.2 and 4.3), with `ring` as the cryptography
-//! library. This module defines the supported schemes and the key IDs, and counts a key once whatever key IDs it is
-//! listed under.
+//! library. This module defines the supported schemes and the key IDs, and counts a key once whatever key IDs
+//! it is listed under.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,7 +20,8 @@
     InvalidPublicKey,
 }
 
-/// The key ID: SHA-256 of the key's canonical form in hex (section 4.2). `None` if the key has no canonical form.
+/// The key ID: SHA-256 of the key's canonical form in hex (section 4.2). `None` if the key has no canonical
+/// form.
 pub fn key_id(key: &Key) -> Option<KeyId> {
     let bytes = canonical_json(key).ok()?;
     Some(KeyId(hex::encode(ring::digest::digest(&ring::digest::SHA256, &bytes))))
@@ -33,8 +34,8 @@
     info.subject_public_key.as_bytes().map(<[u8]>::to_vec)
 }
 
-/// Whether `sig` is a valid signature of `key` over `bytes`. Supported are `ed25519`, `ecdsa-sha2-nistp256` and
-/// `rsassa-pss-sha256` with keys of 2048 to 8192 bits.
+/// Whether `sig` is a valid signature of `key` over `bytes`. Supported are `ed25519`, `ecdsa-sha2-nistp256`
+/// and `rsassa-pss-sha256` with keys of 2048 to 8192 bits.
 ///
 /// # Errors
 /// [`KeyError`] if the key's scheme is not supported or its public part can't be decoded.
@@ -74,8 +75,8 @@
     }
 }
 
-/// Counts the distinct keys of a role with a valid signature over `bytes`. A key that is listed under several key
-/// IDs counts once.
+/// Counts the distinct keys of a role with a valid signature over `bytes`. A key that is listed under several
+/// key IDs counts once.
 pub fn count_signatures(
     keys: &BTreeMap<KeyId, Key>, role: &RoleKeys, bytes: &[u8], signatures: &[Signature], planted: Planted,
 ) -> SignatureCount {
@@ -223,8 +224,8 @@
     }
 }
 
-/// DER header of an rsaEncryption key (RFC 8017, appendix A.1) before `len` bytes of PKCS#1 key. `len` is at least
-/// 256, so that each length takes the two-byte form.
+/// DER header of an rsaEncryption key (RFC 8017, appendix A.1) before `len` bytes of PKCS#1 key. `len` is at
+/// least 256, so that each length takes the two-byte form.
 fn rsa_spki_header(len: usize) -> Vec<u8> {
     let two_byte_length = |n: usize| [0x82, (n >> 8) as u8, n as u8];
     let algorithm =
--- a/crates/stagepond-tuf/src/lib.rs
+++ b/crates/stagepond-tuf/src/lib.rs
@@ -1,6 +1,6 @@
-//! The Update Framework (TUF, specification 1.0.x) without I/O or clocks: verification, signing and publication of
-//! metadata. Verification takes the trusted state and the bytes of a file, and returns a new trusted state, a request
-//! for the next file or a typed error. `docs/tuf.md` explains the design.
+//! The Update Framework (TUF, specification 1.0.x) without I/O or clocks: verification, signing and
+//! publication of metadata. Verification takes the trusted state and the bytes of a file, and returns a new
+//! trusted state, a request for the next file or a typed error. `docs/tuf.md` explains the design.
 //!
 //! From the bottom up:
 //! - [`metadata`]: the file formats as typed values
--- a/crates/stagepond-tuf/src/metadata.rs
+++ b/crates/stagepond-tuf/src/metadata.rs
@@ -1,6 +1,6 @@
-//! Metadata file formats (TUF specification, sections 4.2 to 4.6) as typed values. This module parses files (with
-//! bounded depth and counts, without duplicate names or fractions) and produces the canonical JSON that is signed.
-//! It checks neither signatures nor expiry.
+//! Metadata file formats (TUF specification, sections 4.2 to 4.6) as typed values. This module parses files
+//! (with bounded depth and counts, without duplicate names or fractions) and produces the canonical JSON that
+//! is signed. It checks neither signatures nor expiry.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -92,8 +92,8 @@
     pub public: String,
 }
 
-/// A public key as listed in a file (section 4.2). Unknown fields are kept in `other`, since the key ID covers
-/// them.
+/// A public key as listed in a file (section 4.2). Unknown fields are kept in `other`, since the key ID
+/// covers them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
     pub keytype: String,
@@ -118,8 +118,8 @@
     pub roles: BTreeMap<String, RoleKeys>,
 }
 
-/// Version, length in bytes and hashes of a metadata file, as listed in a timestamp or snapshot file (sections 4.4
-/// and 4.6).
+/// Version, length in bytes and hashes of a metadata file, as listed in a timestamp or snapshot file
+/// (sections 4.4 and 4.6).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileDescription {
     pub version: Version,
@@ -141,8 +141,8 @@
     pub meta: BTreeMap<String, FileDescription>,
 }
 
-/// Description of a target: its length in bytes, its hashes in lower-case hex by algorithm name, and custom data
-/// of the application (section 4.5).
+/// Description of a target: its length in bytes, its hashes in lower-case hex by algorithm name, and custom
+/// data of the application (section 4.5).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
     pub length: u64,
@@ -164,8 +164,8 @@
     pub path_hash_prefixes: Option<Vec<String>>,
 }
 
-/// Delegation to hashed bins in short form (TAP 15): `2^bit_length` roles, named by prefix and number, that share
-/// keys and threshold.
+/// Delegation to hashed bins in short form (TAP 15): `2^bit_length` roles, named by prefix and number, that
+/// share keys and threshold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuccinctRoles {
     pub keyids: Vec<KeyId>,
@@ -196,7 +196,8 @@
 pub trait MetadataType: Serialize + for<'a> Deserialize<'a> + Clone {
     /// Value of the `_type` field.
     const TYPE: &'static str;
-    /// Checks what the types of the fields don't express. The error names the field and what is wrong with it.
+    /// Checks what the types of the fields don't express. The error names the field and what is wrong with
+    /// it.
     fn validate(&self) -> Result<(), String>;
 }
 
@@ -283,20 +284,21 @@
     }
 }
 
-/// A parsed metadata file: its signed part, the fields common to all types and its signatures (section 4.2). The
-/// signatures have not been verified.
+/// A parsed metadata file: its signed part, the fields common to all types and its signatures (section 4.2).
+/// The signatures have not been verified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SignedMetadata<T> {
     pub signed: T,
     pub version: Version,
     pub expires: UnixSeconds,
     pub signatures: Vec<Signature>,
-    /// The canonical form of the signed part: the bytes that the signatures cover. It includes unknown fields.
+    /// The canonical form of the signed part: the bytes that the signatures cover. It includes unknown
+    /// fields.
     pub canonical: Vec<u8>,
 }
 
-/// Deserializes JSON without duplicate names and fractions. Parsers disagree on which of two values of the same name
-/// counts, so another program could read something else in the same signed file.
+/// Deserializes JSON without duplicate names and fractions. Parsers disagree on which of two values of the
+/// same name counts, so another program could read something else in the same signed file.
 struct StrictJson;
 
 impl<'de> DeserializeSeed<'de> for StrictJson {
--- a/crates/stagepond-tuf/src/paths.rs
+++ b/crates/stagepond-tuf/src/paths.rs
@@ -1,12 +1,13 @@
-//! Matching of target paths with delegations: path patterns and hash prefixes (TUF specification, section 4.5), hashed
-//! bins (TAP 15). Matching a pattern takes at most time proportional to its length times that of the path.
+//! Matching of target paths with delegations: path patterns and hash prefixes (TUF specification, section
+//! 4.5), hashed bins (TAP 15). Matching a pattern takes at most time proportional to its length times that of
+//! the path.
 
 use ring::digest::{digest, SHA256};
 
 use crate::metadata::{Delegation, RoleName, SuccinctRoles};
 
-/// Matches one segment of a path with one segment of a pattern: `*` stands for any run of bytes, `?` for any one
-/// byte, `[` for itself.
+/// Matches one segment of a path with one segment of a pattern: `*` stands for any run of bytes, `?` for any
+/// one byte, `[` for itself.
 fn segment_matches(pattern: &[u8], text: &[u8]) -> bool {
     let (mut p, mut t) = (0, 0);
     // The last `*` and where in the text its run ends.
@@ -45,7 +46,8 @@
     hex::encode(digest(&SHA256, path.as_bytes()))
 }
 
-/// Whether a delegation covers a path, so that its role may list that target. An empty hash prefix covers nothing.
+/// Whether a delegation covers a path, so that its role may list that target. An empty hash prefix covers
+/// nothing.
 pub fn delegation_covers(role: &Delegation, path: &str) -> bool {
     if let Some(prefixes) = &role.path_hash_prefixes {
         let hash = path_hash(path);
@@ -54,8 +56,8 @@
     role.paths.iter().flatten().any(|pattern| pattern_matches(pattern, path))
 }
 
-/// The role of the bin that a path falls into (TAP 15): the prefix and the first `bit_length` bits of the path's
-/// hash in hex, padded with zeros to the digits of the last bin.
+/// The role of the bin that a path falls into (TAP 15): the prefix and the first `bit_length` bits of the
+/// path's hash in hex, padded with zeros to the digits of the last bin.
 pub fn bin_role(bins: &SuccinctRoles, path: &str) -> RoleName {
     let hash = digest(&SHA256, path.as_bytes());
     let first_bits =
@@ -104,7 +106,8 @@
     proptest! {
         #[test]
         fn segment_matching_agrees_with_the_reference(p in "[ab*?]{0,8}", t in "[ab]{0,8}") {
-            prop_assert_eq!(segment_matches(p.as_bytes(), t.as_bytes()), matches_recursively(p.as_bytes(), t.as_bytes()));
+            let expected = matches_recursively(p.as_bytes(), t.as_bytes());
+            prop_assert_eq!(segment_matches(p.as_bytes(), t.as_bytes()), expected);
         }
     }
 
--- a/crates/stagepond-tuf/src/planted.rs
+++ b/crates/stagepond-tuf/src/planted.rs
@@ -1,5 +1,5 @@
-//! Planted faults: deliberate omissions of a check that a checker must find. Without the feature `planted` none can be
-//! switched on, and asking costs nothing. The feature must never be on in a program that serves.
+//! Planted faults: deliberate omissions of a check that a checker must find. Without the feature `planted`
+//! none can be switched on, and asking costs nothing. The feature must never be on in a program that serves.
 
 /// A check that is left out or weakened. The variants' names are values on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -18,8 +18,8 @@
     ExpiryIgnored,
     /// A snapshot may omit roles that the trusted snapshot lists.
     DropTaken,
-    /// Version, length and hashes in a timestamp or snapshot are not compared with the file: mix-and-match attacks
-    /// succeed.
+    /// Version, length and hashes in a timestamp or snapshot are not compared with the file: mix-and-match
+    /// attacks succeed.
     MixTaken,
     /// Length and hashes of a target are not checked.
     TargetUnchecked,
--- a/crates/stagepond-tuf/src/repository.rs
+++ b/crates/stagepond-tuf/src/repository.rs
@@ -1,6 +1,7 @@
-//! The repository side of TUF: roles and keys, targets, key rotation, and new file versions signed by a threshold of
-//! keys (specification, section 6). It produces the bytes of the files and leaves writing them to the caller. The files
-//! of a release are to be written in the order returned, the timestamp last, so that no client sees half a release.
+//! The repository side of TUF: roles and keys, targets, key rotation, and new file versions signed by a
+//! threshold of keys (specification, section 6). It produces the bytes of the files and leaves writing them
+//! to the caller. The files of a release are to be written in the order returned, the timestamp last, so that
+//! no client sees half a release.
 
 use std::collections::BTreeMap;
 
@@ -80,12 +81,12 @@
 }
 
 impl Repository {
-    /// Creates a repository with consistent snapshots. `roles` gives the keys and the threshold of each top-level
-    /// role.
+    /// Creates a repository with consistent snapshots. `roles` gives the keys and the threshold of each
+    /// top-level role.
     ///
     /// # Errors
-    /// [`RepositoryError::UnknownRole`] if a top-level role is missing, [`RepositoryError::Format`] if a role's keys
-    /// or threshold are invalid.
+    /// [`RepositoryError::UnknownRole`] if a top-level role is missing, [`RepositoryError::Format`] if a
+    /// role's keys or threshold are invalid.
     pub fn new(
         roles: &BTreeMap<String, (Vec<&SigningKey>, u32)>, expiry_periods: ExpiryPeriods,
     ) -> Result<Repository, RepositoryError> {
@@ -107,8 +108,8 @@
         })
     }
 
-    /// Replaces the keys and the threshold of a top-level role; this takes effect with the next root. Keys that no
-    /// role uses any more are removed.
+    /// Replaces the keys and the threshold of a top-level role; this takes effect with the next root. Keys
+    /// that no role uses any more are removed.
     ///
     /// # Errors
     /// [`RepositoryError::UnknownRole`].
@@ -126,7 +127,8 @@
         Ok(())
     }
 
-    /// Delegates paths to a role with these keys and targets. An earlier delegation to the same role is replaced.
+    /// Delegates paths to a role with these keys and targets. An earlier delegation to the same role is
+    /// replaced.
     pub fn add_delegation(&mut self, delegation: Delegation, keys: &[&SigningKey], targets: Targets) {
         let delegations = self.targets.delegations.get_or_insert_with(Delegations::default);
         delegations.keys.extend(public_keys(keys).0);
@@ -141,8 +143,8 @@
         *version
     }
 
-    /// Signs the next version of the root (section 6.1). `signers` has to hold a threshold of the new root's keys;
-    /// clients require a threshold of the previous root's keys as well, which is not checked here.
+    /// Signs the next version of the root (section 6.1). `signers` has to hold a threshold of the new root's
+    /// keys; clients require a threshold of the previous root's keys as well, which is not checked here.
     ///
     /// # Errors
     /// [`RepositoryError::NotEnoughKeys`], or a failure to sign.
@@ -182,8 +184,8 @@
         Ok(signers)
     }
 
-    /// Signs a release and returns its files in the order in which to write them: targets, delegated roles, snapshot,
-    /// timestamp. An error leaves the repository unchanged.
+    /// Signs a release and returns its files in the order in which to write them: targets, delegated roles,
+    /// snapshot, timestamp. An error leaves the repository unchanged.
     ///
     /// # Errors
     /// [`RepositoryError::NotEnoughKeys`], or a failure to sign.
--- a/crates/stagepond-tuf/src/uptane.rs
+++ b/crates/stagepond-tuf/src/uptane.rs
@@ -1,8 +1,8 @@
-//! Uptane (standard 2.x): the director repository says which ECU installs what, the image repository describes the
-//! images; here a tablet takes the place of an ECU. Full verification needs both repositories and their agreement
-//! (section 5.4.4), partial verification only the director's targets metadata (section 5.4.4.1). Time comes from a
-//! signed source, and each ECU signs its version reports with its own key. Where both repositories are needed, one
-//! alone is never trusted.
+//! Uptane (standard 2.x): the director repository says which ECU installs what, the image repository
+//! describes the images; here a tablet takes the place of an ECU. Full verification needs both repositories
+//! and their agreement (section 5.4.4), partial verification only the director's targets metadata (section
+//! 5.4.4.1). Time comes from a signed source, and each ECU signs its version reports with its own key. Where
+//! both repositories are needed, one alone is never trusted.
 
 use std::collections::BTreeMap;
 
@@ -37,8 +37,8 @@
     Image,
 }
 
-/// Why an image, a time attestation or a version report was not accepted. [`UptaneError::kind`] names each variant in
-/// a form that programs may rely on.
+/// Why an image, a time attestation or a version report was not accepted. [`UptaneError::kind`] names each
+/// variant in a form that programs may rely on.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UptaneError {
     /// The metadata of one repository failed a check.
@@ -67,7 +67,8 @@
     /// The attested time is earlier than one attested before.
     #[error("attested time {received} is earlier than {known}")]
     TimeRollback { known: UnixSeconds, received: UnixSeconds },
-    /// The report is not signed by the ECU's registered key, or reports an older image than the report before.
+    /// The report is not signed by the ECU's registered key, or reports an older image than the report
+    /// before.
     #[error("version report of ECU {:?} is not signed by its key or reports an older image", .0.0)]
     InvalidReport(EcuId),
     /// The caller passed a file or a time attestation while none was requested.
@@ -110,8 +111,8 @@
     pub hardware_id: HardwareId,
 }
 
-/// Custom data of a target in the image repository's targets metadata: the hardware that it fits. No hardware IDs
-/// means any hardware.
+/// Custom data of a target in the image repository's targets metadata: the hardware that it fits. No hardware
+/// IDs means any hardware.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ImageCustom {
@@ -126,7 +127,8 @@
     serde_json::from_value(target.custom.clone().unwrap_or(Value::Null)).ok()
 }
 
-/// The one target that the director's targets metadata assigns to an ECU, after all checks that need no other metadata.
+/// The one target that the director's targets metadata assigns to an ECU, after all checks that need no other
+/// metadata.
 fn assigned_target(targets: &Targets, ecu: &Ecu) -> Result<(String, Target), UptaneError> {
     if targets.delegations.is_some() {
         return Err(UptaneError::DirectorDelegates);
@@ -150,8 +152,8 @@
     found.ok_or_else(|| UptaneError::NoTarget(ecu.id.clone()))
 }
 
-/// Checks that both repositories describe the same target and that it fits the ECU. Each hash that both list must be
-/// equal, and at least one must be listed by both.
+/// Checks that both repositories describe the same target and that it fits the ECU. Each hash that both list
+/// must be equal, and at least one must be listed by both.
 fn check_agreement(path: &str, director: &Target, image: &Target, ecu: &Ecu) -> Result<(), UptaneError> {
     let same = director.length == image.length
         && image.hashes.iter().all(|(name, hash)| director.hashes.get(name).is_none_or(|h| h == hash))
@@ -212,8 +214,8 @@
         (&self.director, &self.image)
     }
 
-    /// Starts a verification at the time `now`: refreshes the director's metadata, then that of the image repository,
-    /// then searches for the assigned target.
+    /// Starts a verification at the time `now`: refreshes the director's metadata, then that of the image
+    /// repository, then searches for the assigned target.
     pub fn start(&mut self, now: UnixSeconds) -> UptaneProgress {
         self.now = now;
         self.phase = Phase::Director;
@@ -286,9 +288,9 @@
     }
 }
 
-/// Partial verification (section 5.4.4.1): checks only the director's targets metadata, by the keys of a trusted root.
-/// It is meant for secondaries that can't do more, behind a primary that does full verification. Returns the version of
-/// the metadata, and path and description of the ECU's target.
+/// Partial verification (section 5.4.4.1): checks only the director's targets metadata, by the keys of a
+/// trusted root. It is meant for secondaries that can't do more, behind a primary that does full
+/// verification. Returns the version of the metadata, and path and description of the ECU's target.
 ///
 /// # Errors
 /// The check that failed; `trusted` is the version of the targets metadata accepted before.
@@ -316,8 +318,8 @@
     Ok((file.version, path, target))
 }
 
-/// The answer of a time source (the time server of section 5.3.3): the time in RFC 3339, and the nonces of the requests
-/// that it answers.
+/// The answer of a time source (the time server of section 5.3.3): the time in RFC 3339, and the nonces of
+/// the requests that it answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeAttestation {
     pub time: String,
@@ -347,7 +349,8 @@
     }
 }
 
-/// The time as attested by a signed source, for ECUs whose own clock may be wrong or may be set by an attacker.
+/// The time as attested by a signed source, for ECUs whose own clock may be wrong or may be set by an
+/// attacker.
 #[derive(Clone, Debug)]
 pub struct AttestedClock {
     key: Key,
@@ -363,15 +366,15 @@
         AttestedClock { key, known, nonce: None }
     }
 
-    /// Opens a request with this nonce and returns it. The nonce must be fresh: with a reused one, a replayed answer
-    /// would set the clock back.
+    /// Opens a request with this nonce and returns it. The nonce must be fresh: with a reused one, a replayed
+    /// answer would set the clock back.
     pub fn request(&mut self, nonce: u64) -> u64 {
         self.nonce = Some(nonce);
         nonce
     }
 
-    /// Checks the answer to the open request and returns the attested time. The answer closes the request, whether it
-    /// is accepted or not.
+    /// Checks the answer to the open request and returns the attested time. The answer closes the request,
+    /// whether it is accepted or not.
     ///
     /// # Errors
     /// [`UptaneError::NotRequested`], [`UptaneError::InvalidTime`] or [`UptaneError::TimeRollback`].
@@ -420,8 +423,8 @@
         self.keys.insert(ecu, key);
     }
 
-    /// Records a version report. It must be signed by the ECU's own key, and its release counter must not be lower than
-    /// that of the report before.
+    /// Records a version report. It must be signed by the ECU's own key, and its release counter must not be
+    /// lower than that of the report before.
     ///
     /// # Errors
     /// [`UptaneError::InvalidReport`].
--- a/crates/stagepond-tuf/tests/client.rs
+++ b/crates/stagepond-tuf/tests/client.rs
@@ -1,5 +1,6 @@
-//! Tests of the client with a repository in memory: many root versions behind, a clock that is set back, fast-forward
-//! attack and recovery, a release written during a refresh, order, cycles and number of delegations.
+//! Tests of the client with a repository in memory: many root versions behind, a clock that is set back,
+//! fast-forward attack and recovery, a release written during a refresh, order, cycles and number of
+//! delegations.
 
 use std::collections::BTreeMap;
 
@@ -139,8 +140,8 @@
     assert_eq!(server.refresh(&mut client, NOW), Ok(Progress::UpToDate));
 }
 
-/// Of two clients with different trusted versions, the older one accepts the newer release and the newer one refuses
-/// the older release.
+/// Of two clients with different trusted versions, the older one accepts the newer release and the newer one
+/// refuses the older release.
 #[rstest]
 fn clients_move_to_newer_versions_only() {
     let mut server = TestRepository::new();
@@ -155,8 +156,8 @@
     assert_eq!(rolled_back.refresh(&mut ahead, NOW).unwrap_err().kind(), "rollback");
 }
 
-/// A client that read the timestamp of one release while the next one is being written still gets the whole of the
-/// first: with consistent snapshots, new files don't replace old ones.
+/// A client that read the timestamp of one release while the next one is being written still gets the whole
+/// of the first: with consistent snapshots, new files don't replace old ones.
 #[rstest]
 fn a_partly_written_release_does_not_disturb_clients() {
     let mut server = TestRepository::new();
