--- a/crates/stagepond-sidecar/src/event_loop.rs
+++ b/crates/stagepond-sidecar/src/event_loop.rs
@@ -10,18 +10,18 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, watch, Notify};
 
+use crate::config::SidecarConfig;
 use crate::discovery;
 use crate::frontend::{self, Frontend, Operations};
-use crate::keeping;
-use crate::launch::Launch;
-use crate::leading::{Leading, Note};
+use crate::leadership::{LeadershipController, LeadershipEvent};
 use crate::lifecycle::State;
 use crate::messages::*;
 use crate::peers::PeerSocket;
 use crate::platform::{self, VoteRequest};
 use crate::pods::PodClient;
 use crate::reducer::{OptionalParts, Reducer};
-use crate::verifying::{Told, Verifying};
+use crate::state_files;
+use crate::verification::{ResponseVerifier, VerificationEvent};
 
 /// File descriptors reserved for everything but clients and pods: the listener, the datagram socket,
 /// discovery, the platform's stream, votes, the runtime's own descriptors and a few that are being closed.
@@ -48,7 +48,7 @@
 /// Fails if a signal handler or socket can't be set up, or if the stored leadership state or the trusted TUF
 /// metadata can't be used.
 pub async fn serve(
-    launch: Launch, reread: impl Fn() -> Result<ReloadableConfig>, mut hangups: Signal,
+    config: SidecarConfig, reread: impl Fn() -> Result<ReloadableConfig>, mut hangups: Signal,
 ) -> Result<()> {
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
@@ -56,29 +56,30 @@
     // Inputs about single invocations come on an unbounded channel, all others on a bounded one.
     let (invocation_sender, mut invocation_inputs) = mpsc::unbounded_channel();
     let (control_sender, mut control_inputs) = mpsc::channel(CONTROL_QUEUE_CAPACITY);
-    let names = Arc::new(launch.names);
-    let own_peer = launch.facts.own_peer;
+    let names = Arc::new(config.names);
+    let own_peer = config.facts.own_peer;
 
-    let shared_sockets = launch.transport.sockets - RESERVED_SOCKETS.min(launch.transport.sockets / 2);
+    let shared_sockets =
+        config.transport.max_sockets - RESERVED_SOCKETS.min(config.transport.max_sockets / 2);
     let clients_max = (shared_sockets as f64 * CLIENT_SOCKET_SHARE) as usize;
-    let clients_in_memory =
-        (launch.transport.memory as f64 * CLIENT_MEMORY_SHARE) as usize / frontend::MAX_CONNECTION_BYTES;
+    let clients_in_memory = (config.transport.memory_bytes as f64 * CLIENT_MEMORY_SHARE) as usize
+        / frontend::MAX_CONNECTION_BYTES;
     let clients_max = clients_max.min(clients_in_memory);
-    let retry_safety = launch.facts.operations.iter().map(|o| o.retry_safety);
+    let retry_safety = config.facts.operations.iter().map(|o| o.retry_safety);
     let operations = Operations(names.operations.iter().cloned().zip(retry_safety).collect());
     let frontend = Frontend::new(operations, clients_max, clock, invocation_sender.clone());
     let mut pods =
-        PodClient::new(shared_sockets - clients_max, launch.transport, clock, invocation_sender.clone());
-    let peers = match launch.peer_listen {
-        Some(at) => Some(PeerSocket::bind(at, launch.peers, launch.peers_all).await?),
+        PodClient::new(shared_sockets - clients_max, config.transport, clock, invocation_sender.clone());
+    let peers = match config.peer_listen {
+        Some(at) => Some(PeerSocket::bind(at, config.peers, config.peers_all).await?),
         None => None,
     };
     if let Some(peers) = &peers {
         tokio::spawn(peers.receive(own_peer, control_sender.clone()));
     }
     let snapshot_wanted = Arc::new(Notify::new());
-    let index = launch.known.index;
-    let (discovery_address, address) = watch::channel(launch.places.discovery);
+    let index = config.known_pods.index;
+    let (discovery_address, address) = watch::channel(config.addresses.discovery);
     tokio::spawn(discovery::watch(
         address,
         index,
@@ -87,53 +88,64 @@
         control_sender.clone(),
     ));
     let (vote_sender, vote_requests) = mpsc::unbounded_channel();
-    let vote_timeout = to_std_duration(launch.facts.vote_timeout);
-    let (platform_address, address) = watch::channel(launch.places.platform);
+    let vote_timeout = to_std_duration(config.facts.vote_timeout);
+    let (platform_address, address) = watch::channel(config.addresses.platform);
     tokio::spawn(platform::follow_rollout(address.clone(), names.clone(), control_sender.clone()));
     tokio::spawn(platform::cast_votes(address, vote_requests, control_sender.clone(), clock));
     let (raft_state_sender, raft_states_to_write) = mpsc::unbounded_channel();
-    let leadership = match &launch.operators.leadership {
-        Some(asked) => {
+    let leadership = match &config.operators.leadership {
+        Some(settings) => {
             let seat = Seat(own_peer.0 as u16);
-            let promises =
-                asked.state.as_deref().map(|path| keeping::read(path, seat)).transpose()?.flatten();
-            if let Some(path) = &asked.state {
-                tokio::spawn(keeping::keep(path.clone(), raft_states_to_write, control_sender.clone()));
+            let promises = settings
+                .state_file
+                .as_deref()
+                .map(|path| state_files::read_persistent_state(path, seat))
+                .transpose()?
+                .flatten();
+            if let Some(path) = &settings.state_file {
+                tokio::spawn(state_files::write_persistent_states(
+                    path.clone(),
+                    raft_states_to_write,
+                    control_sender.clone(),
+                ));
             }
-            Some(Leading::new(clock.now(), own_peer, launch.seed, asked, promises))
+            Some(LeadershipController::new(clock.now(), own_peer, config.seed, settings, promises))
         }
         None => None,
     };
-    let client_address = frontend.listen(launch.listen)?;
+    let client_address = frontend.listen(config.listen)?;
     let datagram_address =
         peers.as_ref().and_then(PeerSocket::local_address).map_or("none".into(), |at| at.to_string());
     tracing::info!(
-        name = launch.name,
+        name = config.name,
         clients = %client_address,
         datagrams = %datagram_address,
         clients_max,
         "listening"
     );
-    launch.missing.iter().for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
+    config
+        .unsupported
+        .iter()
+        .for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
 
     let (trusted_sender, trusted_to_write) = mpsc::unbounded_channel();
-    let verification = match launch.operators.verified {
-        Some(asked) => {
-            if let Some(path) = asked.state {
-                tokio::spawn(keeping::keep_trusted(path, trusted_to_write));
+    let verification = match config.operators.tuf {
+        Some(settings) => {
+            if let Some(path) = settings.state_file {
+                tokio::spawn(state_files::write_trusted_metadata(path, trusted_to_write));
             }
-            Some(Verifying::new(clock.now(), asked.asked, launch.seed).context("tuf")?)
+            Some(ResponseVerifier::new(clock.now(), settings.verification, config.seed).context("tuf")?)
         }
         None => None,
     };
 
     let (mut reducer, mut effects) = Reducer::new(
         clock.now(),
-        launch.facts,
-        launch.seed,
-        launch.places,
-        launch.known,
-        launch.standing,
+        config.facts,
+        config.seed,
+        config.addresses,
+        config.known_pods,
+        config.rollout_status,
         OptionalParts { leadership, verification },
     );
     let mut batch = Vec::new();
@@ -266,16 +278,16 @@
 }
 
 /// Logs a leadership event. The names and fields are for programs to read; `docs/leadership.md` lists them.
-fn log_leadership_event(event: Note, now: Tenths) {
+fn log_leadership_event(event: LeadershipEvent, now: Tenths) {
     let at = now.0;
     match event {
-        Note::Leads { term, until } => {
+        LeadershipEvent::BecameLeader { term, until } => {
             tracing::info!(event = "leads", at, term = term.0, until = until.0, "became leader")
         }
-        Note::SteppedDown { term, why } => {
+        LeadershipEvent::SteppedDown { term, why } => {
             tracing::info!(event = "stepped_down", at, term = term.0, why, "stepped down as leader")
         }
-        Note::InForce { term, number, holder, decree } => {
+        LeadershipEvent::CommandCommitted { term, number, holder, decree } => {
             tracing::info!(
                 event = "in_force",
                 term = term.0,
@@ -285,30 +297,34 @@
                 "log entry committed"
             );
         }
-        Note::CaughtUp { number } => {
+        LeadershipEvent::SnapshotInstalled { number } => {
             tracing::info!(event = "caught_up", number = number.0, "snapshot of the log installed")
         }
-        Note::Founded { term } => {
+        LeadershipEvent::Bootstrapped { term } => {
             tracing::warn!(event = "founded", term = term.0, "new era bootstrapped by the whole pool")
         }
-        Note::Refused { decree, why } => tracing::debug!(event = "refused", decree, why, "command rejected"),
-        Note::Dropped { counts } => {
+        LeadershipEvent::CommandRejected { decree, why } => {
+            tracing::debug!(event = "refused", decree, why, "command rejected")
+        }
+        LeadershipEvent::DatagramsDropped { counts } => {
             tracing::warn!(event = "datagrams_dropped", counts, "leadership datagrams dropped")
         }
-        Note::Member { seat, health } => {
+        LeadershipEvent::MemberHealthChanged { seat, health } => {
             tracing::info!(event = "member", seat = seat.0, ?health, "health of a member changed")
         }
     }
 }
 
 /// Logs an event of the verification of signed content; `docs/tuf.md` lists the events.
-fn log_verification_event(event: Told) {
+fn log_verification_event(event: VerificationEvent) {
     match event {
-        Told::Trusted { versions } => tracing::info!(event = "trusted", ?versions, "new metadata trusted"),
-        Told::Refused { kind, why, again_in } => {
+        VerificationEvent::MetadataUpdated { versions } => {
+            tracing::info!(event = "trusted", ?versions, "new metadata trusted")
+        }
+        VerificationEvent::MetadataRefused { kind, why, again_in } => {
             tracing::warn!(event = "metadata_refused", kind, again_in_ms = again_in.0 / 10, "{why}");
         }
-        Told::GoesOnEnded { since } => {
+        VerificationEvent::UsingExpiredMetadata { since } => {
             tracing::error!(
                 event = "goes_on_ended",
                 since,
--- /dev/null
+++ b/crates/stagepond-sidecar/src/leadership_tests.rs
@@ -0,0 +1,222 @@
+//! Tests of three reducers with leadership that exchange datagrams in memory: which one votes, when a trial's
+//! share grows, and what a network partition changes. No sockets, and time is simulated.
+
+use rstest::rstest;
+use stagepond::host::*;
+use stagepond_leadership::ids::{Life, Seat};
+use stagepond_leadership::seal::{Key, KeySet, Sealer};
+use stagepond_leadership::settings::Settings;
+
+use crate::leadership::{LeadershipController, LeadershipEvent};
+use crate::messages::*;
+use crate::operators::{KeyRing, LeadershipConfig};
+use crate::reducer_tests::{pod_entry, pod_list, test_facts, ReducerHarness, START_TIME};
+
+const SIDECARS: usize = 3;
+const TICK_INTERVAL: Tenths = Tenths::ms(5);
+
+fn leadership_config() -> LeadershipConfig {
+    let sealing_key = Key::new(1, &[7; 32]).unwrap();
+    LeadershipConfig {
+        bounds: Settings::default_for(SIDECARS as u16).validate().unwrap(),
+        key_ring: KeyRing { sealing_key, accepted_keys: Vec::new() },
+        state_file: None,
+        widen_by_decree: true,
+        frozen_builds: Vec::new(),
+    }
+}
+
+/// A vote that was cast: the sidecar, the expiry of its lease and the verdict.
+type CastVote = (usize, Tenths, Verdict);
+
+/// Three reducers and the network between them.
+struct Cluster {
+    reducers: Vec<ReducerHarness>,
+    /// The sidecar that no datagram reaches or leaves.
+    partitioned: Option<usize>,
+    now: Tenths,
+    votes: Vec<CastVote>,
+}
+
+impl Cluster {
+    fn start() -> Cluster {
+        let reducer = |index: usize| {
+            let facts =
+                Facts { own_peer: Peer(index), sidecar_count: SIDECARS, peer_messages: true, ..test_facts() };
+            let start = START_TIME + Tenths(index as i64);
+            let leadership =
+                LeadershipController::new(start, Peer(index), index as u64, &leadership_config(), None);
+            ReducerHarness::with_leadership(facts, vec![pod_entry(1, 1), pod_entry(2, 1)], Some(leadership))
+        };
+        let reducers = (0..SIDECARS).map(reducer).collect();
+        Cluster { reducers, partitioned: None, now: START_TIME, votes: Vec::new() }
+    }
+
+    /// A cluster that has elected a leader, and the leader's index.
+    fn with_leader() -> (Cluster, usize) {
+        let mut cluster = Cluster::start();
+        cluster.advance(Tenths::ms(4000));
+        let leaders = cluster.leaders();
+        assert_eq!(leaders.len(), 1, "{leaders:?}");
+        (cluster, leaders[0])
+    }
+
+    /// Delivers datagrams at once and records votes, each of which needs a valid lease.
+    fn handle_effects(&mut self, from: usize, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::SendDatagram { to: Some(Peer(to)), payload }
+                    if self.partitioned != Some(from) && self.partitioned != Some(to) =>
+                {
+                    self.apply(to, Input::PeerDatagram { from: Peer(from), payload });
+                }
+                Effect::CastVote { verdict: Some(verdict), lease, .. } => {
+                    let lease = lease.expect("with leadership on, a vote needs a lease");
+                    assert!(lease.check(self.now).is_ok());
+                    self.votes.push((from, lease.expires_at(), verdict));
+                }
+                _ => {}
+            }
+        }
+    }
+
+    fn apply(&mut self, sidecar: usize, input: Input) {
+        self.reducers[sidecar].now = self.now;
+        let effects = self.reducers[sidecar].apply(input);
+        self.handle_effects(sidecar, effects);
+    }
+
+    fn apply_to_all(&mut self, input: &Input) {
+        (0..SIDECARS).for_each(|sidecar| self.apply(sidecar, input.clone()));
+    }
+
+    fn advance(&mut self, time: Tenths) {
+        let until = self.now + time;
+        while self.now < until {
+            self.now = self.now + TICK_INTERVAL;
+            self.apply_to_all(&Input::Tick);
+        }
+    }
+
+    fn leaders(&self) -> Vec<usize> {
+        let is_leader = |sidecar: &usize| {
+            let leadership = self.reducers[*sidecar].reducer.leadership().unwrap();
+            leadership.instance().lease(self.now).is_some()
+        };
+        (0..SIDECARS).filter(is_leader).collect()
+    }
+
+    /// Puts build 2 on trial at this stage, with this cap from the platform.
+    fn set_trial(&mut self, stage: u32, cap: f64) {
+        let status = RolloutStatus { build: Build(2), stage, phase: Phase::Trial, cap, age: Tenths(0) };
+        self.apply_to_all(&Input::PodListReceived(pod_list(false, vec![pod_entry(3, 2)])));
+        self.apply_to_all(&Input::RolloutStatusReceived(status));
+    }
+
+    fn share(&self, sidecar: usize) -> f64 {
+        self.reducers[sidecar].reducer.leadership().unwrap().effective_share().unwrap().1
+    }
+
+    fn all_votes_are_from(&self, sidecar: usize) -> bool {
+        self.votes.iter().all(|(from, ..)| *from == sidecar)
+    }
+}
+
+#[rstest]
+fn only_the_leader_votes() {
+    let (mut cluster, leader) = Cluster::with_leader();
+    cluster.set_trial(0, 0.1);
+    cluster.advance(Tenths::ms(12_000));
+    assert!(!cluster.votes.is_empty());
+    assert!(cluster.all_votes_are_from(leader), "{:?}", cluster.votes);
+}
+
+#[rstest]
+fn a_partitioned_leader_stops_voting_with_its_lease_and_a_new_leader_takes_over() {
+    let (mut cluster, leader) = Cluster::with_leader();
+    cluster.partitioned = Some(leader);
+    cluster.set_trial(0, 0.1);
+    cluster.advance(Tenths::ms(1600));
+    assert!(!cluster.leaders().contains(&leader));
+    cluster.votes.clear();
+    cluster.advance(Tenths::ms(14_000));
+    let leaders = cluster.leaders();
+    assert_eq!(leaders.len(), 1);
+    assert_ne!(leaders[0], leader);
+    assert!(!cluster.votes.is_empty() && cluster.all_votes_are_from(leaders[0]), "{:?}", cluster.votes);
+}
+
+#[rstest]
+fn past_the_first_stage_a_share_grows_only_by_a_committed_command_and_shrinks_at_once() {
+    let (mut cluster, leader) = Cluster::with_leader();
+    let follower = (leader + 1) % SIDECARS;
+    cluster.set_trial(0, 0.1);
+    assert_eq!(cluster.share(follower), 0.1, "the first stage needs no command");
+    cluster.partitioned = Some(follower);
+    cluster.set_trial(1, 0.4);
+    cluster.advance(Tenths::ms(500));
+    assert_eq!(cluster.share(follower), 0.1, "the command has not reached the follower");
+    assert_eq!(cluster.share(leader), 0.4);
+    cluster.partitioned = None;
+    cluster.advance(Tenths::ms(1500));
+    assert_eq!(cluster.share(follower), 0.4);
+    cluster.partitioned = Some(follower);
+    cluster.set_trial(1, 0.05);
+    assert_eq!(cluster.share(follower), 0.05, "a lower cap applies without a command");
+}
+
+#[rstest]
+fn a_frozen_build_gets_no_larger_share_and_no_approval_until_the_freeze_ends() {
+    let (mut cluster, leader) = Cluster::with_leader();
+    cluster.set_trial(0, 0.1);
+    let frozen = LeadershipConfig { frozen_builds: vec![Build(2)], ..leadership_config() };
+    let addresses = ServiceAddresses { discovery: ([127, 0, 0, 1], 1).into(), platform: None };
+    let reload =
+        |leadership| Input::ConfigRead(Ok(ReloadableConfig { addresses, leadership: Some(leadership) }));
+    cluster.apply(leader, reload(frozen));
+    cluster.advance(Tenths::ms(1500));
+    cluster.set_trial(1, 0.4);
+    cluster.advance(Tenths::ms(12_000));
+    assert_eq!((0..SIDECARS).map(|sidecar| cluster.share(sidecar)).collect::<Vec<_>>(), [0.1; 3]);
+    assert!(cluster.votes.iter().all(|(.., verdict)| *verdict != Verdict::On), "{:?}", cluster.votes);
+    cluster.apply(leader, reload(leadership_config()));
+    cluster.advance(Tenths::ms(12_000));
+    assert_eq!(cluster.share(leader), 0.4);
+    assert!(cluster.votes.iter().any(|(.., verdict)| *verdict == Verdict::On));
+}
+
+/// An instance with another key is heard by nobody. The log has to say why, but not once per datagram.
+#[rstest]
+fn datagrams_sealed_with_an_unknown_key_are_dropped_and_reported_once_per_interval() {
+    let (mut cluster, leader) = Cluster::with_leader();
+    let sender = Seat(((leader + 1) % SIDECARS) as u16);
+    let unknown_key = Key::new(9, &[9; 32]).unwrap();
+    let mut seals = Sealer::new(sender, Life(5), SIDECARS as u16, KeySet::new(unknown_key));
+    let receiver = Seat(leader as u16);
+    let mut reports = 0;
+    for _ in 0..100 {
+        let payload = seals.seal(receiver, b"x");
+        cluster.reducers[leader].now = cluster.now;
+        let effects = cluster.reducers[leader].apply(Input::PeerDatagram { from: Peer(0), payload });
+        reports += effects
+            .iter()
+            .filter(|effect| {
+                matches!(effect, Effect::LogLeadershipEvent(LeadershipEvent::DatagramsDropped { counts })
+                    if counts.contains("UnknownKey"))
+            })
+            .count();
+    }
+    assert_eq!(reports, 1);
+}
+
+#[rstest]
+fn a_planned_shutdown_hands_over_leadership() {
+    let (mut cluster, leader) = Cluster::with_leader();
+    cluster.apply(leader, Input::ShutdownRequested);
+    cluster.advance(Tenths::ms(700));
+    let leaders = cluster.leaders();
+    assert!(
+        leaders.len() == 1 && leaders[0] != leader,
+        "{leaders:?}: expected a new leader before the lease would have expired"
+    );
+}
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::launch::StandingForm;
+use crate::config::RawRolloutStatus;
 use crate::messages::*;
 use crate::stream::{self, RateLimitedLog};
 
@@ -46,7 +46,7 @@
 fn parse_event(kind: &str, data: &str, names: &Names) -> Result<Option<Input>> {
     Ok(match kind {
         "ROLLOUT" => Some(Input::RolloutStatusReceived(
-            serde_urlencoded::from_str::<StandingForm>(data).context(kind.to_string())?.read()?,
+            serde_urlencoded::from_str::<RawRolloutStatus>(data).context(kind.to_string())?.parse()?,
         )),
         "DISPUTE" => {
             let dispute: DisputeForm = serde_urlencoded::from_str(data).context(kind.to_string())?;
@@ -239,7 +239,7 @@
 
 #[derive(Deserialize)]
 struct VoteResponseEntries {
-    item: StandingForm,
+    item: RawRolloutStatus,
 }
 
 /// The XML form of the response to a vote that was refused.
@@ -253,7 +253,7 @@
     let text = std::str::from_utf8(body).map_err(|_| Ending::TimedOut)?;
     if status == StatusCode::OK {
         let response = quick_xml::de::from_str::<VoteResponse>(text).map_err(|_| Ending::TimedOut)?;
-        return response.entries.item.read().map_err(|_| Ending::TimedOut);
+        return response.entries.item.parse().map_err(|_| Ending::TimedOut);
     }
     let error = quick_xml::de::from_str::<ErrorResponse>(text).map_err(|_| Ending::TimedOut)?;
     Err(match error.code.as_str() {
@@ -292,15 +292,15 @@
     fn lease_from(now: Tenths) -> LeaderLease {
         use stagepond_leadership::ids::{Life, Seat};
         use stagepond_leadership::instance::{Input, Instance, InstanceConfig};
-        use stagepond_leadership::{bounds::Bounds, planted::Planted, seal::*};
-        let (bounds, keys) = (Bounds::usual(1), Keys::new(Key::new(1, &[7; 32]).unwrap()));
+        use stagepond_leadership::{planted::Planted, seal::*, settings::Settings};
+        let (bounds, keys) = (Settings::default_for(1), KeySet::new(Key::new(1, &[7; 32]).unwrap()));
         let (seat, life, planted) = (Seat(0), Life(1), Planted::default());
         let mut instance = Instance::new(InstanceConfig {
             now,
             seat,
             life,
             seed: 1,
-            bounds,
+            settings: bounds,
             keys,
             persisted: None,
             planted,
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -24,8 +24,8 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
+use crate::config::TransportConfig;
 use crate::connection::{ConnectionTrace, TracedConnection, MAX_HEAD_BYTES};
-use crate::launch::Transport;
 use crate::messages::*;
 use crate::stream::RateLimitedLog;
 
@@ -128,7 +128,7 @@
     /// Its reference count is one more than the number of [`PodConnection`]s.
     connection_count: Arc<()>,
     max_connections: usize,
-    transport: Transport,
+    transport: TransportConfig,
     clock: Clock,
     inputs: mpsc::UnboundedSender<Input>,
     warnings: Arc<RateLimitedLog>,
@@ -137,7 +137,8 @@
 impl PodClient {
     /// Creates a client that opens up to `max_connections` connections and sends outcomes to `inputs`.
     pub fn new(
-        max_connections: usize, transport: Transport, clock: Clock, inputs: mpsc::UnboundedSender<Input>,
+        max_connections: usize, transport: TransportConfig, clock: Clock,
+        inputs: mpsc::UnboundedSender<Input>,
     ) -> PodClient {
         PodClient {
             idle: IdleConnections::default(),
@@ -234,7 +235,7 @@
             .retry_canceled_requests(false)
             .pool_max_idle_per_host(1)
             .pool_timer(TokioTimer::new())
-            .pool_idle_timeout(to_std_duration(self.transport.idle_close.scale(IDLE_TIMEOUT_SHARE)))
+            .pool_idle_timeout(to_std_duration(self.transport.idle_timeout.scale(IDLE_TIMEOUT_SHARE)))
             .http1_max_buf_size(MAX_HEAD_BYTES)
             .build(connector);
         PodConnection { client, trace, idle_since: Instant::now(), _counted: self.connection_count.clone() }
