--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -12,8 +12,8 @@
 use stagepond_leadership::ids::Seat;
 use stagepond_leadership::seal::{Key, KeySet};
 use stagepond_leadership::settings::Settings;
-use stagepond_tuf::client::Floors;
-use stagepond_tuf::form::Version;
+use stagepond_tuf::client::VersionFloors;
+use stagepond_tuf::metadata::Version;
 
 use crate::state_files;
 use crate::verification::{ExpiredMetadataPolicy, ResponseVerifier, VerificationConfig};
@@ -268,7 +268,7 @@
         Some(ms) => ExpiredMetadataPolicy::UseFor(parse_time("tuf.go_on_ended_ms", ms)?),
         None => ExpiredMetadataPolicy::Refuse,
     };
-    let floors = Floors {
+    let floors = VersionFloors {
         root: Version(section.floors.root),
         timestamp: Version(section.floors.timestamp),
         snapshot: Version(section.floors.snapshot),
