--- a/crates/stagepond-tuf/src/metadata.rs
+++ b/crates/stagepond-tuf/src/metadata.rs
@@ -96,7 +96,10 @@
 /// covers them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
+    /// `ed25519`, `ecdsa` (or its alias `ecdsa-sha2-nistp256`) or `rsa`; other types can be listed but don't
+    /// verify.
     pub keytype: String,
+    /// The signature scheme, such as `ecdsa-sha2-nistp256`.
     pub scheme: String,
     pub keyval: KeyValue,
     #[serde(flatten)]
@@ -113,8 +116,11 @@
 /// The signed part of a root file (section 4.3).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Root {
+    /// Whether file names contain versions and hashes (section 6.2).
     pub consistent_snapshot: bool,
+    /// All keys that the top-level roles use.
     pub keys: BTreeMap<KeyId, Key>,
+    /// Keys and threshold of each top-level role.
     pub roles: BTreeMap<String, RoleKeys>,
 }
 
@@ -132,12 +138,14 @@
 /// The signed part of a timestamp file: it lists the current snapshot (section 4.6).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Timestamp {
+    /// One entry, `snapshot.json`.
     pub meta: BTreeMap<String, FileDescription>,
 }
 
 /// The signed part of a snapshot file: it lists the targets files of all roles (section 4.4).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
+    /// File name without version (`ROLE.json`) and description of each targets file.
     pub meta: BTreeMap<String, FileDescription>,
 }
 
@@ -157,9 +165,12 @@
     pub name: RoleName,
     pub keyids: Vec<KeyId>,
     pub threshold: u32,
+    /// Whether a search for a matching path ignores all delegations after this one.
     pub terminating: bool,
+    /// Path patterns; excludes `path_hash_prefixes`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub paths: Option<Vec<String>>,
+    /// Prefixes, in hex, of the SHA-256 of paths.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub path_hash_prefixes: Option<Vec<String>>,
 }
@@ -170,7 +181,9 @@
 pub struct SuccinctRoles {
     pub keyids: Vec<KeyId>,
     pub threshold: u32,
+    /// Binary logarithm of the number of bins, 1 to 32.
     pub bit_length: u32,
+    /// Role names are this prefix, a hyphen and the bin's number in hex.
     pub name_prefix: String,
 }
 
@@ -180,6 +193,7 @@
     pub keys: BTreeMap<KeyId, Key>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub roles: Vec<Delegation>,
+    /// Hashed bins in short form; excludes `roles`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub succinct_roles: Option<SuccinctRoles>,
 }
@@ -187,6 +201,7 @@
 /// The signed part of a targets file of any role (section 4.5).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Targets {
+    /// The targets by path.
     pub targets: BTreeMap<String, Target>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delegations: Option<Delegations>,
@@ -290,6 +305,7 @@
 pub struct SignedMetadata<T> {
     pub signed: T,
     pub version: Version,
+    /// The file is valid before this time, not at it.
     pub expires: UnixSeconds,
     pub signatures: Vec<Signature>,
     /// The canonical form of the signed part: the bytes that the signatures cover. It includes unknown
--- a/crates/stagepond-tuf/src/repository.rs
+++ b/crates/stagepond-tuf/src/repository.rs
@@ -51,6 +51,7 @@
 /// The content of a repository before it is signed. It is stored as JSON.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Repository {
+    /// Keys and thresholds of the top-level roles, as they will be in the next root file.
     pub root: Root,
     /// The top-level targets and their delegations.
     pub targets: Targets,
--- a/crates/stagepond-tuf/src/uptane.rs
+++ b/crates/stagepond-tuf/src/uptane.rs
@@ -33,7 +33,9 @@
 /// The two repositories of Uptane. `Debug` names them in errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepositoryKind {
+    /// Assigns targets to ECUs.
     Director,
+    /// Describes all images.
     Image,
 }
 
@@ -47,8 +49,10 @@
     /// The director's targets metadata assigns no target to this ECU.
     #[error("no target for ECU {:?}", .0.0)]
     NoTarget(EcuId),
+    /// The director's targets metadata assigns more than one target to this ECU.
     #[error("more than one target for ECU {:?}", .0.0)]
     MultipleTargets(EcuId),
+    /// The target is for other hardware than that of this ECU, according to either repository.
     #[error("{path:?} is for hardware {:?}, this ECU is {:?}", .expected.0, .own.0)]
     HardwareMismatch { path: String, expected: HardwareId, own: HardwareId },
     /// Rollback attack: the release counter is lower than that of the installed image.
@@ -60,6 +64,7 @@
     /// The director's targets metadata must not contain delegations (section 5.4.3).
     #[error("the director's targets metadata contains delegations")]
     DirectorDelegates,
+    /// The answer of the time source failed a check.
     #[error(
         "the time attestation is malformed, not signed by the time source or not for the requested nonce"
     )]
@@ -100,6 +105,7 @@
 #[serde(rename_all = "camelCase")]
 pub struct DirectorCustom {
     pub ecu_identifiers: BTreeMap<EcuId, EcuAssignment>,
+    /// Grows with each release of an image; an ECU never installs a lower one (rollback attack).
     #[serde(default)]
     pub release_counter: u64,
 }
@@ -118,6 +124,7 @@
 pub struct ImageCustom {
     #[serde(default)]
     pub hardware_ids: Vec<HardwareId>,
+    /// As in [`DirectorCustom`].
     #[serde(default)]
     pub release_counter: u64,
 }
@@ -401,8 +408,10 @@
     pub ecu_id: EcuId,
     /// Path of the installed target.
     pub installed: String,
+    /// Length of the installed image in bytes.
     pub length: u64,
     pub hashes: BTreeMap<String, String>,
+    /// Release counter of the installed image.
     #[serde(rename = "counter")]
     pub release_counter: u64,
     /// Detected attacks, each as [`UptaneError::kind`].
