--- a/crates/stagepond-lab/src/leadership/mod.rs
+++ b/crates/stagepond-lab/src/leadership/mod.rs
@@ -1,8 +1,9 @@
-//! Leadership's world, its account and its proof.
+//! Leadership under test: a seeded simulation, a model checker and real processes, each checked against the
+//! protocol's invariants.
 
-pub mod account;
+pub mod invariants;
 pub mod measure;
 pub mod model;
 pub mod processes;
 pub mod proof;
-pub mod world;
+pub mod simulation;
