--- /dev/null
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -0,0 +1,438 @@
+//! Leadership inside the reducer: passes inputs to the leadership protocol (`stagepond-leadership`) and turns
+//! its output into effects. Holds the protocol instance, the committed commands that affect trials and the
+//! last rollout status from the platform. Does no I/O. A vote is cast only under a leader lease, and with
+//! `widen_by_decree` a trial's share grows past its first stage only by a committed command.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use stagepond::host::*;
+use stagepond_leadership::ids::{Life, Number, Seat, Term};
+use stagepond_leadership::instance::{
+    Effect as InstanceEffect, Input as InstanceInput, Instance, InstanceConfig,
+};
+use stagepond_leadership::lease::LeaderLease;
+use stagepond_leadership::log::{Command, Subject, VoteChoice};
+use stagepond_leadership::planted::Planted;
+use stagepond_leadership::raft::PersistentState;
+use stagepond_leadership::seal::FORMAT_BYTE;
+use stagepond_leadership::wire::Health;
+
+use crate::messages::{Effect, RolloutStatus};
+use crate::operators::{KeyRing, LeadershipConfig};
+
+/// A leadership event to be logged. Each variant has its own `event` value in the log, and its fields are the
+/// keys there; `decree` is a command of the replicated log in its `Debug` form.
+#[derive(Clone, Debug, PartialEq)]
+pub enum LeadershipEvent {
+    /// This sidecar became the leader and may act until `until` without renewing its lease.
+    BecameLeader { term: Term, until: Tenths },
+    /// This sidecar stopped leading `term`.
+    SteppedDown { term: Term, why: &'static str },
+    /// A command was committed.
+    CommandCommitted { term: Term, number: Number, holder: Seat, decree: String },
+    /// A snapshot from the leader, up to entry `number`, replaced the local log.
+    SnapshotInstalled { number: Number },
+    /// A new group of voters was bootstrapped because no quorum that remembers the old one was left.
+    Bootstrapped { term: Term },
+    /// A command proposed by this sidecar was rejected.
+    CommandRejected { decree: String, why: String },
+    /// The failure detector changed its view of a member.
+    MemberHealthChanged { seat: Seat, health: Health },
+    /// Datagrams dropped since the start: `reason=count` pairs separated by spaces.
+    DatagramsDropped { counts: String },
+}
+
+/// The reducer's view of leadership: the protocol instance and the limits its committed commands set on
+/// trials.
+pub struct LeadershipController {
+    instance: Instance,
+    /// Whether a trial's share may grow past its first stage only by a committed command.
+    widen_by_decree: bool,
+    /// The last rollout status from the platform and when it arrived.
+    last_status: Option<(RolloutStatus, Tenths)>,
+    /// Share of each build allowed by committed commands, in millionths.
+    committed_shares: BTreeMap<Build, u32>,
+    /// Builds whose trial is frozen, with the share (0 to 1) in use when the freeze took effect.
+    frozen_shares: BTreeMap<Build, f64>,
+    /// Builds that the operators' file wants frozen.
+    requested_freezes: BTreeSet<Build>,
+    is_leader: bool,
+    voters: Vec<Peer>,
+    /// Number of dropped datagrams last reported.
+    reported_drops: u64,
+    /// Earliest time of the next report of dropped datagrams.
+    next_drop_report: Tenths,
+    /// The share last passed to the decision module.
+    applied_share: Option<(Build, f64)>,
+}
+
+/// What the reducer has to do after a step.
+#[derive(Default)]
+pub struct StepOutcome {
+    /// Effects to carry out, in order.
+    pub effects: Vec<Effect>,
+    /// The voters and whether this sidecar leads, if either changed; the decision module must be told.
+    pub leadership_change: Option<(Vec<Peer>, bool)>,
+    /// The allowed share may have changed: the decision module must be given the current rollout status
+    /// again.
+    pub share_changed: bool,
+}
+
+/// Dropped datagrams are reported at most once per interval, so that their sender can't flood the log.
+const DROP_REPORT_INTERVAL: Tenths = Tenths::ms(1000);
+/// Scale of the shares in commands.
+const MILLIONTHS: f64 = 1_000_000.0;
+
+/// Whether a datagram belongs to the leadership protocol, by its first byte. The decision module's messages
+/// never begin with that byte.
+pub fn is_leadership_datagram(bytes: &[u8]) -> bool {
+    bytes.first() == Some(&FORMAT_BYTE)
+}
+
+impl LeadershipController {
+    /// Creates the controller for peer `own_peer`. `persisted` is the state stored by an earlier process at
+    /// this seat, if there is any. The start time serves as the incarnation (`Life`), which must be higher
+    /// than that of any earlier process at this seat.
+    pub fn new(
+        now: Tenths, own_peer: Peer, seed: u64, config: &LeadershipConfig, persisted: Option<PersistentState>,
+    ) -> LeadershipController {
+        let instance = Instance::new(InstanceConfig {
+            now,
+            seat: Seat(own_peer.0 as u16),
+            life: Life(now.0 as u64),
+            seed,
+            settings: config.settings.clone(),
+            keys: config.key_ring.keys_at(now),
+            persisted,
+            planted: Planted::default(),
+        });
+        LeadershipController {
+            instance,
+            widen_by_decree: config.widen_by_decree,
+            last_status: None,
+            committed_shares: BTreeMap::new(),
+            frozen_shares: BTreeMap::new(),
+            requested_freezes: config.frozen_builds.iter().copied().collect(),
+            is_leader: false,
+            voters: Vec::new(),
+            reported_drops: 0,
+            next_drop_report: now,
+            applied_share: None,
+        }
+    }
+
+    /// Time by which `tick` must be called.
+    pub fn next_due(&self) -> Tenths {
+        self.instance.next_due()
+    }
+
+    /// The build on trial and its share (0 to 1) as last passed to the decision module.
+    pub fn effective_share(&self) -> Option<(Build, f64)> {
+        self.applied_share
+    }
+
+    /// The protocol instance, for inspection.
+    pub fn instance(&self) -> &Instance {
+        &self.instance
+    }
+
+    /// Handles a datagram of the leadership protocol. Reports dropped datagrams at most once per
+    /// `DROP_REPORT_INTERVAL`.
+    pub fn on_datagram(&mut self, now: Tenths, bytes: &[u8]) -> StepOutcome {
+        let mut outcome = self.step(now, InstanceInput::Datagram(bytes));
+        if now >= self.next_drop_report {
+            let dropped = self.instance.status().dropped;
+            let total: u64 = dropped.values().sum();
+            if total > self.reported_drops {
+                self.reported_drops = total;
+                self.next_drop_report = now + DROP_REPORT_INTERVAL;
+                let counts: Vec<String> = dropped
+                    .iter()
+                    .filter(|(_, count)| **count > 0)
+                    .map(|(reason, count)| format!("{reason:?}={count}"))
+                    .collect();
+                let event = LeadershipEvent::DatagramsDropped { counts: counts.join(" ") };
+                outcome.effects.push(Effect::LogLeadershipEvent(event));
+            }
+        }
+        outcome
+    }
+
+    /// Runs the protocol's timers that are due.
+    pub fn tick(&mut self, now: Tenths) -> StepOutcome {
+        if now >= self.next_due() {
+            return self.step(now, InstanceInput::Tick);
+        }
+        StepOutcome::default()
+    }
+
+    /// The state with this sequence number is on stable storage.
+    pub fn on_state_persisted(&mut self, now: Tenths, number: u64) -> StepOutcome {
+        self.step(now, InstanceInput::Persisted(number))
+    }
+
+    /// Announces a planned shutdown; a leader hands over its role.
+    pub fn leave(&mut self, now: Tenths) -> StepOutcome {
+        self.step(now, InstanceInput::Leave)
+    }
+
+    /// Installs the keys of a reloaded file. During a key change some instances have the new key already and
+    /// others still the old one, so both are accepted for the time that the file gives.
+    fn install_keys(&mut self, now: Tenths, key_ring: &KeyRing) -> StepOutcome {
+        let mut effects = Vec::new();
+        for (key, accepted_for) in &key_ring.accepted_keys {
+            let input = InstanceInput::AcceptKey { key: key.clone(), until: now + *accepted_for };
+            effects.extend(self.step(now, input).effects);
+        }
+        let longest = key_ring.accepted_keys.iter().map(|(_, accepted_for)| *accepted_for).max();
+        let old_until = now + longest.unwrap_or(Tenths(0));
+        let input = InstanceInput::NewKey { key: key_ring.sealing_key.clone(), old_until };
+        let last = self.step(now, input);
+        effects.extend(last.effects);
+        StepOutcome { effects, ..last }
+    }
+
+    /// Applies the keys and frozen builds of a reloaded operators' file.
+    pub fn reload_config(&mut self, now: Tenths, config: &LeadershipConfig) -> StepOutcome {
+        self.requested_freezes = config.frozen_builds.iter().copied().collect();
+        let mut outcome = self.install_keys(now, &config.key_ring);
+        let freezes = self.propose_freezes(now);
+        outcome.effects.extend(freezes.effects);
+        StepOutcome {
+            effects: outcome.effects,
+            leadership_change: freezes.leadership_change.or(outcome.leadership_change),
+            share_changed: outcome.share_changed || freezes.share_changed,
+        }
+    }
+
+    /// On the leader, proposes the commands that bring the frozen builds in line with its operators' file.
+    fn propose_freezes(&mut self, now: Tenths) -> StepOutcome {
+        let mut outcome = StepOutcome::default();
+        if !self.is_leader {
+            return outcome;
+        }
+        let committed = &self.instance.raft().log().committed().subjects;
+        let frozen: BTreeSet<Build> = committed
+            .values()
+            .filter_map(|entry| match entry.command {
+                Command::Freeze { build, frozen: true } => Some(Build(build)),
+                _ => None,
+            })
+            .collect();
+        let changes: Vec<(Build, bool)> = self
+            .requested_freezes
+            .difference(&frozen)
+            .map(|build| (*build, true))
+            .chain(frozen.difference(&self.requested_freezes).map(|build| (*build, false)))
+            .collect();
+        for (Build(build), frozen) in changes {
+            let step = self.step(now, InstanceInput::Command(Command::Freeze { build, frozen }));
+            outcome.effects.extend(step.effects);
+            outcome.share_changed |= step.share_changed;
+            outcome.leadership_change = step.leadership_change.or(outcome.leadership_change);
+        }
+        outcome
+    }
+
+    /// Proposes the decision module's vote as a command; the vote is cast once that is committed. Only the
+    /// leader's proposals are accepted. An approval (`Verdict::On`) of a frozen build is not proposed.
+    pub fn propose_vote(
+        &mut self, now: Tenths, build: Build, stage: u32, verdict: Option<Verdict>,
+    ) -> StepOutcome {
+        let voice = match verdict {
+            Some(Verdict::On) if self.frozen_shares.contains_key(&build) => {
+                return StepOutcome::default();
+            }
+            Some(Verdict::On) => VoteChoice::On,
+            Some(Verdict::Hold) => VoteChoice::Hold,
+            Some(Verdict::Back) => VoteChoice::Back,
+            None => VoteChoice::Withdrawn,
+        };
+        self.step(now, InstanceInput::Command(Command::Vote { build: build.0, stage, voice }))
+    }
+
+    /// Takes a rollout status from the platform and returns it with its cap limited to the share that may be
+    /// used here. A status of an older build than the last one is limited but not remembered.
+    pub fn on_rollout_status(&mut self, now: Tenths, status: RolloutStatus) -> (RolloutStatus, StepOutcome) {
+        let is_current = self.last_status.is_none_or(|(last, _)| status.build >= last.build);
+        if is_current {
+            self.last_status = Some((status, now));
+        }
+        let outcome = if is_current { self.propose_widening(now) } else { StepOutcome::default() };
+        (self.limit_share(status), outcome)
+    }
+
+    /// The last rollout status with its age as of `now` and its cap limited to the share that may be used.
+    pub fn current_status(&mut self, now: Tenths) -> Option<RolloutStatus> {
+        let (status, received_at) = self.last_status?;
+        let age = status.age + (now - received_at);
+        Some(self.limit_share(RolloutStatus { age, ..status }))
+    }
+
+    /// Limits the cap of a trial to what committed commands allow. A lower cap from the platform applies at
+    /// once, and a release is the platform's decision alone; only growth waits for a command.
+    fn limit_share(&mut self, status: RolloutStatus) -> RolloutStatus {
+        let mut cap = status.cap;
+        if status.phase == Phase::Trial {
+            if self.widen_by_decree && status.stage > 0 {
+                let committed = self
+                    .committed_shares
+                    .get(&status.build)
+                    .map_or(0.0, |share| f64::from(*share) / MILLIONTHS);
+                // The share in use stays allowed until a committed command raises it.
+                let in_use = self.share_in_use(status.build);
+                cap = cap.min(committed.max(in_use));
+            }
+            cap = self.frozen_shares.get(&status.build).map_or(cap, |frozen| cap.min(*frozen));
+        }
+        self.applied_share = Some((status.build, cap));
+        RolloutStatus { cap, ..status }
+    }
+
+    fn share_in_use(&self, build: Build) -> f64 {
+        self.applied_share.filter(|(applied, _)| *applied == build).map_or(0.0, |(_, cap)| cap)
+    }
+
+    /// On the leader, proposes a wider share if the platform's cap has grown past the committed share.
+    fn propose_widening(&mut self, now: Tenths) -> StepOutcome {
+        let Some((status, _)) = self.last_status.filter(|_| self.widen_by_decree && self.is_leader) else {
+            return StepOutcome::default();
+        };
+        let share = (status.cap * MILLIONTHS).floor() as u32;
+        let is_wider = status.stage > 0
+            && self.committed_shares.get(&status.build).is_none_or(|committed| *committed < share);
+        if status.phase != Phase::Trial || !is_wider || self.frozen_shares.contains_key(&status.build) {
+            return StepOutcome::default();
+        }
+        let command = Command::Widen { build: status.build.0, stage: status.stage, share };
+        self.step(now, InstanceInput::Command(command))
+    }
+
+    /// Runs one step of the protocol and translates its effects for the reducer.
+    fn step(&mut self, now: Tenths, input: InstanceInput) -> StepOutcome {
+        let mut outcome = StepOutcome::default();
+        let mut propose_again = false;
+        for effect in self.instance.step(now, input) {
+            match effect {
+                InstanceEffect::Send { to, bytes } => {
+                    let to = Some(Peer(usize::from(to.0)));
+                    outcome.effects.push(Effect::SendDatagram { to, payload: bytes });
+                }
+                InstanceEffect::Persist { version: number, state } => {
+                    outcome.effects.push(Effect::PersistRaftState { number, state });
+                }
+                InstanceEffect::BecameLeader(lease) => {
+                    propose_again = true;
+                    let (term, until) = (lease.term(), lease.expires_at());
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::BecameLeader { term, until }));
+                }
+                InstanceEffect::SteppedDown { term, reason: why } => {
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::SteppedDown { term, why }));
+                }
+                InstanceEffect::Committed { entry, lease } => {
+                    let vote = vote_effect(&entry.command, lease);
+                    let (term, number, holder) = (entry.term, entry.number, entry.leader);
+                    outcome.share_changed |= self.apply_command(&entry.command);
+                    // Widening that the freeze held back is proposed again.
+                    propose_again |= matches!(entry.command, Command::Freeze { frozen: false, .. });
+                    let decree = format!("{:?}", entry.command);
+                    let event = LeadershipEvent::CommandCommitted { term, number, holder, decree };
+                    outcome.effects.push(Effect::LogLeadershipEvent(event));
+                    outcome.effects.extend(vote);
+                }
+                InstanceEffect::SnapshotInstalled { number } => {
+                    outcome.share_changed = true;
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::SnapshotInstalled { number }));
+                    self.apply_committed_shares();
+                }
+                InstanceEffect::Bootstrapped { era } => {
+                    let term = Term::first_of_era(era);
+                    outcome.effects.push(Effect::LogLeadershipEvent(LeadershipEvent::Bootstrapped { term }));
+                }
+                InstanceEffect::Rejected { command, reason } => {
+                    let (decree, why) = (format!("{command:?}"), reason.to_string());
+                    outcome
+                        .effects
+                        .push(Effect::LogLeadershipEvent(LeadershipEvent::CommandRejected { decree, why }));
+                }
+                InstanceEffect::MemberChanged { seat, health } => {
+                    outcome.effects.push(Effect::LogLeadershipEvent(LeadershipEvent::MemberHealthChanged {
+                        seat,
+                        health,
+                    }));
+                }
+            }
+        }
+        outcome.leadership_change = self.update_leadership(now);
+        if propose_again {
+            for proposal in [self.propose_widening(now), self.propose_freezes(now)] {
+                outcome.effects.extend(proposal.effects);
+                outcome.share_changed |= proposal.share_changed;
+            }
+        }
+        outcome
+    }
+
+    /// The voters and whether this sidecar leads, if either has changed since the last call.
+    fn update_leadership(&mut self, now: Tenths) -> Option<(Vec<Peer>, bool)> {
+        let is_leader = self.instance.lease(now).is_some();
+        let voters = self.instance.raft().voters();
+        let mut voters: Vec<Peer> = voters.iter().map(|voter| Peer(usize::from(voter.seat.0))).collect();
+        voters.dedup();
+        if (is_leader, &voters) == (self.is_leader, &self.voters) {
+            return None;
+        }
+        (self.is_leader, self.voters) = (is_leader, voters.clone());
+        Some((voters, is_leader))
+    }
+
+    /// Updates the share limits from a committed command. Returns whether it affects the share of a trial.
+    fn apply_command(&mut self, command: &Command) -> bool {
+        match *command {
+            Command::Widen { build, share, .. } => {
+                self.committed_shares.insert(Build(build), share);
+                true
+            }
+            Command::Freeze { build, frozen } => {
+                let build = Build(build);
+                if frozen {
+                    let share = self.share_in_use(build);
+                    self.frozen_shares.entry(build).or_insert(share);
+                } else {
+                    self.frozen_shares.remove(&build);
+                }
+                true
+            }
+            Command::Opening | Command::Voters(_) | Command::Vote { .. } => false,
+        }
+    }
+
+    /// Applies every committed command that limits a share, after the log was replaced as a whole.
+    fn apply_committed_shares(&mut self) {
+        let subjects = self.instance.raft().log().committed().subjects.clone();
+        let limits_share =
+            |subject: &Subject| matches!(subject, Subject::Widen { .. } | Subject::Freeze { .. });
+        for (_, entry) in subjects.iter().filter(|(subject, _)| limits_share(subject)) {
+            self.apply_command(&entry.command);
+        }
+    }
+}
+
+/// The effect that casts a committed vote. Only the leader gets a lease with a committed command, so only the
+/// leader casts the vote.
+fn vote_effect(command: &Command, lease: Option<LeaderLease>) -> Option<Effect> {
+    let (&Command::Vote { build, stage, voice }, Some(lease)) = (command, lease) else { return None };
+    let verdict = match voice {
+        VoteChoice::On => Some(Verdict::On),
+        VoteChoice::Hold => Some(Verdict::Hold),
+        VoteChoice::Back => Some(Verdict::Back),
+        VoteChoice::Withdrawn => None,
+    };
+    Some(Effect::CastVote { build: Build(build), stage, verdict, lease: Some(lease) })
+}
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -151,7 +151,7 @@
 pub struct ReloadableConfig {
     pub addresses: ServiceAddresses,
     /// The operators' leadership settings, if leadership is on; its keys and frozen builds are applied again.
-    pub leadership: Option<crate::operators::Leadership>,
+    pub leadership: Option<crate::operators::LeadershipConfig>,
 }
 
 /// What the reducer is told. Each input is applied at a time that the event loop passes with it.
@@ -233,9 +233,9 @@
         state: Vec<u8>,
     },
     /// Log an event of leadership.
-    LogLeadershipEvent(crate::leading::Note),
+    LogLeadershipEvent(crate::leadership::LeadershipEvent),
     /// Log an event of metadata verification.
-    LogVerificationEvent(crate::verifying::Told),
+    LogVerificationEvent(crate::verification::VerificationEvent),
     /// Write the trusted metadata to disk in full.
     PersistTrustedMetadata(stagepond_tuf::client::Kept),
     /// Ask discovery for the full pod list again.
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-use crate::launch::StandingForm;
+use crate::config::RawRolloutStatus;
 use crate::messages::*;
 use crate::stream::{self, RateLimitedLog};
 
@@ -46,7 +46,7 @@
 fn parse_event(kind: &str, data: &str, names: &Names) -> Result<Option<Input>> {
     Ok(match kind {
         "ROLLOUT" => Some(Input::RolloutStatusReceived(
-            serde_urlencoded::from_str::<StandingForm>(data).context(kind.to_string())?.read()?,
+            serde_urlencoded::from_str::<RawRolloutStatus>(data).context(kind.to_string())?.parse()?,
         )),
         "DISPUTE" => {
             let dispute: DisputeForm = serde_urlencoded::from_str(data).context(kind.to_string())?;
@@ -239,7 +239,7 @@
 
 #[derive(Deserialize)]
 struct VoteResponseEntries {
-    item: StandingForm,
+    item: RawRolloutStatus,
 }
 
 /// The XML form of the response to a vote that was refused.
@@ -253,7 +253,7 @@
     let text = std::str::from_utf8(body).map_err(|_| Ending::TimedOut)?;
     if status == StatusCode::OK {
         let response = quick_xml::de::from_str::<VoteResponse>(text).map_err(|_| Ending::TimedOut)?;
-        return response.entries.item.read().map_err(|_| Ending::TimedOut);
+        return response.entries.item.parse().map_err(|_| Ending::TimedOut);
     }
     let error = quick_xml::de::from_str::<ErrorResponse>(text).map_err(|_| Ending::TimedOut)?;
     Err(match error.code.as_str() {
