--- a/crates/stagepond-sidecar/src/cli.rs
+++ b/crates/stagepond-sidecar/src/cli.rs
@@ -86,8 +86,8 @@
     let hangups = runtime.block_on(async { signal(SignalKind::hangup()) }).context("SIGHUP")?;
     init_logging()?;
     let config = load_config(&arguments, LoadKind::Initial)?;
-    let reload = move || load_config(&arguments, LoadKind::Reload).map(SidecarConfig::into_reloadable);
-    let result = runtime.block_on(event_loop::serve(config, reload, hangups));
+    let reload_config = move || load_config(&arguments, LoadKind::Reload).map(SidecarConfig::into_reloadable);
+    let result = runtime.block_on(event_loop::serve(config, reload_config, hangups));
     runtime.shutdown_background();
     result
 }
--- a/crates/stagepond-sidecar/src/discovery.rs
+++ b/crates/stagepond-sidecar/src/discovery.rs
@@ -29,14 +29,14 @@
 
 /// The JSON form of a pod list or of a change to it.
 #[derive(Deserialize)]
-struct ListForm {
+struct RawPodList {
     index: u64,
     snapshot: bool,
-    endpoints: Vec<EndpointForm>,
+    endpoints: Vec<RawEndpoint>,
 }
 
 #[derive(Deserialize)]
-struct EndpointForm {
+struct RawEndpoint {
     name: String,
     address: String,
     zone: String,
@@ -64,17 +64,17 @@
 /// Fails if any entry is invalid, as the rest of the list is then not trusted either. The error names the
 /// field.
 pub fn decode_list(list: Value, names: &Names) -> Result<PodList> {
-    let form: ListForm = serde_json::from_value(list)?;
+    let raw: RawPodList = serde_json::from_value(list)?;
     let position = |field: &str, all: &[String], name: &str| {
         let found = all.iter().position(|n| n == name);
         found.ok_or_else(|| anyhow!("{field}: {name:?} is not in the settings"))
     };
-    let pod_entry = |endpoint: EndpointForm| -> Result<PodEntry> {
+    let pod_entry = |endpoint: RawEndpoint| -> Result<PodEntry> {
         let availability = match endpoint.status.as_str() {
             "in_service" => Availability::Up,
             "terminating" => Availability::Draining,
             "terminated" => Availability::Gone,
-            other => bail!("status: expected in_service, terminating or terminated, got {other:?}"),
+            other => bail!("status: {other:?}, expected in_service, terminating or terminated"),
         };
         if !endpoint.weight.is_finite() {
             bail!("weight of {:?}: {} is not a finite number", endpoint.name, endpoint.weight);
@@ -94,8 +94,8 @@
             build: Build(endpoint.release),
         })
     };
-    let pods = form.endpoints.into_iter().map(pod_entry).collect::<Result<_>>()?;
-    Ok(PodList { index: form.index, is_snapshot: form.snapshot, pods })
+    let pods = raw.endpoints.into_iter().map(pod_entry).collect::<Result<_>>()?;
+    Ok(PodList { index: raw.index, is_snapshot: raw.snapshot, pods })
 }
 
 /// Collects a JSON object that may extend over many lines. It counts brackets to find the end, since parsing
@@ -115,8 +115,8 @@
             return Ok(None);
         }
         // The rest of a truncated object never arrives; the objects after it must not be taken for its rest.
-        let begins_object =
-            line.trim_end() == "{" || line.starts_with('{') && serde_json::from_str::<ListForm>(line).is_ok();
+        let begins_object = line.trim_end() == "{"
+            || line.starts_with('{') && serde_json::from_str::<RawPodList>(line).is_ok();
         if self.depth > 0 && begins_object {
             bail!("an object ended early: another one begins inside it");
         }
@@ -150,17 +150,17 @@
 /// connection breaks or the address changes.
 ///
 /// `index` is the version of the list that the program starts with, or 0 for none. A notification on
-/// `snapshot_wanted` requests the whole list again. So does a change of the address, because another agent
+/// `snapshot_requested` requests the whole list again. So does a change of the address, because another agent
 /// need not count versions in the same way.
 pub async fn watch(
     mut address: watch::Receiver<SocketAddr>, mut index: u64, names: Arc<Names>,
-    snapshot_wanted: Arc<Notify>, inputs: mpsc::Sender<Input>,
+    snapshot_requested: Arc<Notify>, inputs: mpsc::Sender<Input>,
 ) {
     let warnings = RateLimitedLog::default();
     loop {
         let current_address = *address.borrow_and_update();
         let attempt = async {
-            let reason = run_session(current_address, &mut index, &names, &snapshot_wanted, &inputs).await;
+            let reason = run_session(current_address, &mut index, &names, &snapshot_requested, &inputs).await;
             warnings.warn(format_args!("discovery: {reason:#}"));
             if inputs.send(Input::DiscoveryDisconnected).await.is_ok() {
                 tokio::time::sleep(RECONNECT_DELAY).await;
@@ -178,11 +178,11 @@
 
 /// Reads one connection until it can't be used any further, and returns the reason.
 async fn run_session(
-    address: SocketAddr, index: &mut u64, names: &Names, snapshot_wanted: &Notify,
+    address: SocketAddr, index: &mut u64, names: &Names, snapshot_requested: &Notify,
     inputs: &mpsc::Sender<Input>,
 ) -> anyhow::Error {
-    let since = if *index > 0 { format!("&index={index}") } else { String::new() };
-    let target = format!("/v1/endpoints?stream=1{since}");
+    let index_parameter = if *index > 0 { format!("&index={index}") } else { String::new() };
+    let target = format!("/v1/endpoints?stream=1{index_parameter}");
     let mut lines = match stream::open(address, &target, MAX_OBJECT_BYTES).await {
         Ok(lines) => lines,
         Err(error) => return error,
@@ -191,7 +191,7 @@
     loop {
         let line = tokio::select! {
             line = lines.next(MAX_SILENCE) => line,
-            () = snapshot_wanted.notified() => {
+            () = snapshot_requested.notified() => {
                 *index = 0;
                 return anyhow!("reconnecting to request the whole list");
             }
--- a/crates/stagepond-sidecar/src/event_loop.rs
+++ b/crates/stagepond-sidecar/src/event_loop.rs
@@ -30,7 +30,7 @@
 /// mostly one dispatch in progress, but some clients connect without sending anything or stay connected after
 /// their answer.
 const CLIENT_SOCKET_SHARE: f64 = 0.58;
-/// Share of the memory limit for all client connections, which hold half a message each on average. The limit
+/// Share of the memory limit for all client connections. They hold half a message each on average; the limit
 /// on their number counts a whole message for each.
 const CLIENT_MEMORY_SHARE: f64 = 0.4;
 /// Capacity of the channel for inputs other than those of clients and pods; its senders wait while it is
@@ -40,15 +40,15 @@
 /// from its socket to this loop, and each needs one turn.
 const YIELDS_BEFORE_COLLECTING: usize = 3;
 
-/// Runs the sidecar until it has shut down after SIGTERM or SIGINT. `reread` reads the configuration again
-/// and is called after a signal on `hangups`.
+/// Runs the sidecar until it has shut down after SIGTERM or SIGINT. `reload_config` reads the configuration
+/// again; it is called after a signal on `hangups`, and a limited number of times more while reading fails.
 ///
 /// # Errors
 ///
 /// Fails if a signal handler or socket can't be set up, or if the stored leadership state or the trusted TUF
 /// metadata can't be used.
 pub async fn serve(
-    config: SidecarConfig, reread: impl Fn() -> Result<ReloadableConfig>, mut hangups: Signal,
+    config: SidecarConfig, reload_config: impl Fn() -> Result<ReloadableConfig>, mut hangups: Signal,
 ) -> Result<()> {
     let clock = Clock::start();
     let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
@@ -77,39 +77,39 @@
     if let Some(peers) = &peers {
         tokio::spawn(peers.receive(own_peer, control_sender.clone()));
     }
-    let snapshot_wanted = Arc::new(Notify::new());
+    let snapshot_requested = Arc::new(Notify::new());
     let index = config.known_pods.index;
-    let (discovery_address, address) = watch::channel(config.addresses.discovery);
+    let (discovery_address_sender, discovery_address) = watch::channel(config.addresses.discovery);
     tokio::spawn(discovery::watch(
-        address,
+        discovery_address,
         index,
         names.clone(),
-        snapshot_wanted.clone(),
+        snapshot_requested.clone(),
         control_sender.clone(),
     ));
     let (vote_sender, vote_requests) = mpsc::unbounded_channel();
     let vote_timeout = to_std_duration(config.facts.vote_timeout);
-    let (platform_address, address) = watch::channel(config.addresses.platform);
-    tokio::spawn(platform::follow_rollout(address.clone(), names.clone(), control_sender.clone()));
-    tokio::spawn(platform::cast_votes(address, vote_requests, control_sender.clone(), clock));
+    let (platform_address_sender, platform_address) = watch::channel(config.addresses.platform);
+    tokio::spawn(platform::follow_rollout(platform_address.clone(), names.clone(), control_sender.clone()));
+    tokio::spawn(platform::cast_votes(platform_address, vote_requests, control_sender.clone(), clock));
     let (raft_state_sender, raft_states_to_write) = mpsc::unbounded_channel();
     let leadership = match &config.operators.leadership {
-        Some(settings) => {
+        Some(leadership_config) => {
             let seat = Seat(own_peer.0 as u16);
-            let promises = settings
+            let persisted = leadership_config
                 .state_file
                 .as_deref()
                 .map(|path| state_files::read_persistent_state(path, seat))
                 .transpose()?
                 .flatten();
-            if let Some(path) = &settings.state_file {
+            if let Some(path) = &leadership_config.state_file {
                 tokio::spawn(state_files::write_persistent_states(
                     path.clone(),
                     raft_states_to_write,
                     control_sender.clone(),
                 ));
             }
-            Some(LeadershipController::new(clock.now(), own_peer, config.seed, settings, promises))
+            Some(LeadershipController::new(clock.now(), own_peer, config.seed, leadership_config, persisted))
         }
         None => None,
     };
@@ -126,15 +126,15 @@
     config
         .unsupported
         .iter()
-        .for_each(|what| tracing::warn!("the settings have {what}: not there on sockets"));
+        .for_each(|feature| tracing::warn!("the settings have {feature}: not there on sockets"));
 
     let (trusted_sender, trusted_to_write) = mpsc::unbounded_channel();
     let verification = match config.operators.tuf {
-        Some(settings) => {
-            if let Some(path) = settings.state_file {
+        Some(tuf_config) => {
+            if let Some(path) = tuf_config.state_file {
                 tokio::spawn(state_files::write_trusted_metadata(path, trusted_to_write));
             }
-            Some(ResponseVerifier::new(clock.now(), settings.verification, config.seed).context("tuf")?)
+            Some(ResponseVerifier::new(clock.now(), tuf_config.verification, config.seed).context("tuf")?)
         }
         None => None,
     };
@@ -165,19 +165,19 @@
                     }
                 }
                 Effect::CastVote { build, stage, verdict, lease } => {
-                    let until = tokio::time::Instant::now() + vote_timeout;
-                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, until, lease });
+                    let deadline = tokio::time::Instant::now() + vote_timeout;
+                    let _ = vote_sender.send(VoteRequest { build, stage, verdict, deadline, lease });
                 }
                 Effect::PersistRaftState { number, state } => drop(raft_state_sender.send((number, state))),
                 Effect::PersistTrustedMetadata(metadata) => drop(trusted_sender.send(metadata)),
                 Effect::LogVerificationEvent(event) => log_verification_event(event),
                 Effect::LogLeadershipEvent(event) => log_leadership_event(event, clock.now()),
-                Effect::RequestPodSnapshot => snapshot_wanted.notify_one(),
+                Effect::RequestPodSnapshot => snapshot_requested.notify_one(),
                 Effect::ReadConfig => {
-                    batch.push(Input::ConfigRead(reread().map_err(|error| format!("{error:#}"))))
+                    batch.push(Input::ConfigRead(reload_config().map_err(|error| format!("{error:#}"))))
                 }
-                Effect::SetDiscoveryAddress(address) => drop(discovery_address.send_replace(address)),
-                Effect::SetPlatformAddress(address) => drop(platform_address.send_replace(address)),
+                Effect::SetDiscoveryAddress(address) => drop(discovery_address_sender.send_replace(address)),
+                Effect::SetPlatformAddress(address) => drop(platform_address_sender.send_replace(address)),
                 Effect::CloseListener => frontend.close_listener(),
                 Effect::Log(text) => tracing::info!("{text}"),
                 Effect::EnterState(state) => {
@@ -211,11 +211,11 @@
         for _ in 0..YIELDS_BEFORE_COLLECTING {
             tokio::task::yield_now().await;
         }
-        let first = batch.len();
+        let received = batch.len();
         while let Ok(input) = control_inputs.try_recv() {
             batch.push(input);
         }
-        batch.rotate_left(first);
+        batch.rotate_left(received);
         while let Ok(input) = invocation_inputs.try_recv() {
             batch.push(input);
         }
@@ -277,7 +277,7 @@
     }
 }
 
-/// Logs a leadership event. The names and fields are for programs to read; `docs/leadership.md` lists them.
+/// Logs a leadership event. Programs read the event names and fields; `docs/leadership.md` lists them.
 fn log_leadership_event(event: LeadershipEvent, now: Tenths) {
     let at = now.0;
     match event {
--- a/crates/stagepond-sidecar/src/frontend.rs
+++ b/crates/stagepond-sidecar/src/frontend.rs
@@ -46,8 +46,8 @@
 const SWEEP_INTERVAL: Tenths = Tenths::ms(200);
 /// A client that keeps its connection may rely on it for this long between two invocations.
 const MIN_KEEP_ALIVE: Tenths = Tenths::ms(2000);
-/// Age from which a connection without an invocation may be evicted at the limit. Clients send as soon as they
-/// are connected; without this grace period new connections would evict each other in a burst.
+/// Age from which a connection without an invocation may be evicted at the limit. Clients send as soon as
+/// they are connected; without this grace period new connections would evict each other in a burst.
 const NEW_CONNECTION_GRACE: Tenths = Tenths::ms(50);
 /// Share of the connection limit above which idle connections are closed before their places are needed.
 const HIGH_LOAD_SHARE: f64 = 0.75;
@@ -191,7 +191,7 @@
     /// Answers the invocation with this number. Does nothing if its client has disconnected.
     pub fn send_answer(&self, number: InvocationNumber, answer: FinalAnswer) {
         let pending = self.pending_answers().remove(&number);
-        // No sender is left if the client has gone; `PendingInvocation` reports that to the reducer.
+        // No sender is left if the client has gone; `DisconnectGuard` reports that to the reducer.
         if let Some(pending) = pending {
             let _ = pending.send(answer);
         }
@@ -214,7 +214,8 @@
         self.connections().values_mut().for_each(ClientConnection::close);
     }
 
-    /// Stops accepting once the connections that already wait in the queue are accepted.
+    /// Accepts the connections that already wait in the queue, then closes the listener and reports
+    /// [`Input::ListenerClosed`].
     pub fn close_listener(&self) {
         self.close_listener.notify_one();
     }
@@ -443,7 +444,7 @@
     idle.into_iter().take(max_closed).for_each(ClientConnection::close);
 }
 
-/// Handles `/ready`.
+/// Answers `GET /ready`: 200 while the sidecar takes invocations, otherwise 503.
 async fn ready(
     Shared(frontend): Shared<Arc<Frontend>>, Extension(connection): Extension<ConnectionHandle>,
 ) -> Response {
@@ -517,15 +518,15 @@
     Ok((Op(op), RequestId(request_id.into()), limit))
 }
 
-/// An invocation that waits for its answer. Dropping it before the answer has come, as when the client
-/// disconnects, reports [`Input::ClientDisconnected`] to the reducer.
-struct PendingInvocation {
+/// Held while an invocation waits for its answer. If it is dropped before the answer, as when the client
+/// disconnects, it reports [`Input::ClientDisconnected`] to the reducer.
+struct DisconnectGuard {
     frontend: Arc<Frontend>,
     number: InvocationNumber,
     connection_id: u64,
 }
 
-impl Drop for PendingInvocation {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         self.frontend.set_idle(self.connection_id, true);
         if self.frontend.pending_answers().remove(&self.number).is_some() {
@@ -567,11 +568,11 @@
     let (answer_sender, answer) = oneshot::channel();
     frontend.pending_answers().insert(number, answer_sender);
     frontend.set_idle(connection.id, false);
-    let waiting = PendingInvocation { frontend: frontend.clone(), number, connection_id: connection.id };
+    let guard = DisconnectGuard { frontend: frontend.clone(), number, connection_id: connection.id };
     let deadline = connection.trace.last_received_at() + limit;
     let _ = frontend.inputs.send(Input::InvocationReceived { number, request_id, request, op, deadline });
     let answer = answer.await;
-    drop(waiting);
+    drop(guard);
     let response = answer_response(answer);
     if is_chunked || frontend.closes_after_answer(connection.id) {
         close_after(response)
@@ -598,11 +599,12 @@
     response
 }
 
+/// Converts a final answer to the HTTP response.
 fn answer_response(answer: Result<FinalAnswer, oneshot::error::RecvError>) -> Response {
     match answer {
-        Ok(FinalAnswer::Succeeded(reply)) => {
-            let mut response = Response::new(Body::from(reply.body));
-            *response.headers_mut() = reply.headers;
+        Ok(FinalAnswer::Succeeded(forwarded)) => {
+            let mut response = Response::new(Body::from(forwarded.body));
+            *response.headers_mut() = forwarded.headers;
             HOP_BY_HOP_HEADERS.iter().for_each(|name| drop(response.headers_mut().remove(name)));
             response.headers_mut().remove(LOAD_HEADER);
             response
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -36,7 +36,7 @@
 
 /// The data of a `DISPUTE` event, which reports that an earlier answer of a pod was wrong.
 #[derive(Deserialize)]
-struct DisputeForm {
+struct RawDispute {
     server: String,
     class: String,
     age_ms: f64,
@@ -49,7 +49,7 @@
             serde_urlencoded::from_str::<RawRolloutStatus>(data).context(kind.to_string())?.parse()?,
         )),
         "DISPUTE" => {
-            let dispute: DisputeForm = serde_urlencoded::from_str(data).context(kind.to_string())?;
+            let dispute: RawDispute = serde_urlencoded::from_str(data).context(kind.to_string())?;
             let Some(op) = names.operations.iter().position(|n| *n == dispute.class) else {
                 bail!("DISPUTE: class {:?} is not in the settings", dispute.class);
             };
@@ -130,12 +130,14 @@
 
 /// A vote to be cast on a stage of a build's rollout.
 pub struct VoteRequest {
+    /// The build on trial.
     pub build: Build,
+    /// Stage that the vote is about.
     pub stage: u32,
     /// `None` withdraws an earlier vote.
     pub verdict: Option<Verdict>,
     /// When to stop waiting for the platform's answer.
-    pub until: Instant,
+    pub deadline: Instant,
     /// The leader lease that permits the vote, where leadership is on. It is checked just before the vote is
     /// sent.
     pub lease: Option<LeaderLease>,
@@ -152,11 +154,11 @@
     while let Some(vote) = votes.recv().await {
         let current_address = *address.borrow();
         let answer = match current_address {
-            Some(address) => tokio::time::timeout_at(vote.until, cast_vote(address, &vote, clock)).await,
+            Some(address) => tokio::time::timeout_at(vote.deadline, cast_vote(address, &vote, clock)).await,
             None => Ok(Err(Ending::NoConnection)),
         };
         let answer = answer.unwrap_or(Err(Ending::TimedOut));
-        let term = vote.lease.map(|m| m.term().0);
+        let term = vote.lease.map(|lease| lease.term().0);
         tracing::info!(
             event = "voted",
             build = vote.build.0,
@@ -191,8 +193,8 @@
     let connected = tokio::time::timeout(stream::OPEN_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(connection)) = connected else { return Err(Ending::NoConnection) };
     let _ = connection.set_nodelay(true);
-    let opened = hyper::client::conn::http1::handshake(TokioIo::new(connection)).await;
-    let Ok((mut sender, connection)) = opened else { return Err(Ending::NoConnection) };
+    let handshake = hyper::client::conn::http1::handshake(TokioIo::new(connection)).await;
+    let Ok((mut sender, connection)) = handshake else { return Err(Ending::NoConnection) };
     // The check is repeated here because this process may have been paused or cut off since the vote was
     // decided, and may no longer lead.
     if let Some(lease) = &vote.lease {
@@ -293,14 +295,14 @@
         use stagepond_leadership::ids::{Life, Seat};
         use stagepond_leadership::instance::{Input, Instance, InstanceConfig};
         use stagepond_leadership::{planted::Planted, seal::*, settings::Settings};
-        let (bounds, keys) = (Settings::default_for(1), KeySet::new(Key::new(1, &[7; 32]).unwrap()));
+        let (settings, keys) = (Settings::default_for(1), KeySet::new(Key::new(1, &[7; 32]).unwrap()));
         let (seat, life, planted) = (Seat(0), Life(1), Planted::default());
         let mut instance = Instance::new(InstanceConfig {
             now,
             seat,
             life,
             seed: 1,
-            settings: bounds,
+            settings,
             keys,
             persisted: None,
             planted,
@@ -326,8 +328,8 @@
         let address = listener.local_addr().unwrap();
         let clock = Clock::start();
         let lease_start = if in_time { clock.now() } else { clock.now() - Tenths::ms(60_000) };
-        let (build, stage, verdict, until) = (Build(2), 0, Some(Verdict::On), Instant::now());
-        let vote = VoteRequest { build, stage, verdict, until, lease: Some(lease_from(lease_start)) };
+        let (build, stage, verdict, deadline) = (Build(2), 0, Some(Verdict::On), Instant::now());
+        let vote = VoteRequest { build, stage, verdict, deadline, lease: Some(lease_from(lease_start)) };
         let cast = tokio::spawn(async move { cast_vote(address, &vote, clock).await });
         let (mut stream, _) = listener.accept().await.unwrap();
         let mut read = [0; 1];
--- a/crates/stagepond-sidecar/src/stream.rs
+++ b/crates/stagepond-sidecar/src/stream.rs
@@ -18,8 +18,8 @@
 use tokio_util::codec::{FramedRead, LinesCodec};
 use tokio_util::io::StreamReader;
 
-/// Time limit for a connection to be established, and for the head of a response to arrive. Both ends are
-/// close to each other, and a failure is followed by another attempt.
+/// Time limit for a connection to be established, and for the head of a response to arrive. It is short since
+/// both ends are close to each other and a failure is followed by another attempt.
 pub const OPEN_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Shortest time between two lines that one [`RateLimitedLog`] writes.
 const MIN_WARNING_INTERVAL: Duration = Duration::from_secs(1);
