--- a/crates/stagepond-sidecar/src/config.rs
+++ b/crates/stagepond-sidecar/src/config.rs
@@ -41,7 +41,7 @@
     pub memory_bytes: usize,
 }
 
-/// The checked configuration of a sidecar.
+/// The checked configuration of a sidecar, with the operators' file.
 pub struct SidecarConfig {
     /// Name of this instance, used in the log.
     pub name: String,
@@ -57,7 +57,7 @@
     pub peers: Vec<SocketAddr>,
     /// Address that reaches all peers with one datagram.
     pub peers_all: Option<SocketAddr>,
-    /// Rollout status at startup.
+    /// Rollout status at startup, if the configuration has one.
     pub rollout_status: Option<RolloutStatus>,
     /// Pods known at startup.
     pub known_pods: PodList,
@@ -152,12 +152,12 @@
     text.as_deref().map(|text| parse_address(field, text)).transpose()
 }
 
-/// Whether a setting switches its feature on: `true`, a number other than 0, or the word `pull`.
+/// Whether a setting switches its feature on: `true`, a number other than 0, or the string `pull`.
 fn is_switched_on(settings: &Value, path: &str) -> bool {
     match settings.pointer(path) {
         Some(Value::Bool(on)) => *on,
         Some(Value::Number(number)) => number.as_f64() != Some(0.0),
-        Some(Value::String(word)) => word == "pull",
+        Some(Value::String(text)) => text == "pull",
         _ => false,
     }
 }
@@ -176,8 +176,8 @@
 ///
 /// # Errors
 ///
-/// Each error names the field at fault. Settings with streamed answers or sticky keys, which are not
-/// supported, are errors too.
+/// Each error names the field at fault. Settings with streamed answers or sticky keys (`no_return`), which
+/// are not supported, are errors too.
 pub fn read(text: &str, env: impl Fn(&str) -> Option<String>, load_kind: LoadKind) -> Result<SidecarConfig> {
     let file: ConfigFile = serde_json::from_str(text).context("configuration")?;
     let required = |field: &str, variable: &str, value: Option<String>| {
@@ -223,7 +223,7 @@
         _ => required("discovery", "BALANCER_DISCOVERY", file.discovery)?,
     };
     let seed = u64::from_str_radix(&file.seed, 16);
-    let (platform, news) = match file.pipeline {
+    let (platform, rollout_status) = match file.pipeline {
         Some(pipeline) => (Some(parse_address("pipeline.address", &pipeline.address)?), pipeline.news),
         None => (None, None),
     };
@@ -235,7 +235,7 @@
         peer_listen,
         peers,
         peers_all: parse_optional_address("peers_all", &file.peers_all)?,
-        rollout_status: news.map(RawRolloutStatus::parse).transpose().context("pipeline.news")?,
+        rollout_status: rollout_status.map(RawRolloutStatus::parse).transpose().context("pipeline.news")?,
         known_pods: PodList { is_snapshot: true, ..known_pods },
         transport: TransportConfig {
             connect_timeout: time("/bounds/connect_timeout_ms")?,
--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -20,8 +20,9 @@
 use crate::messages::{Effect, RolloutStatus};
 use crate::operators::{KeyRing, LeadershipConfig};
 
-/// A leadership event to be logged. Each variant has its own `event` value in the log, and its fields are the
-/// keys there; `decree` is a command of the replicated log in its `Debug` form.
+/// A leadership event to be logged. Each variant has its own `event` value in the log, and its fields have
+/// the names of the log's keys. `why` is a reason in words, `decree` a command of the replicated log in its
+/// `Debug` form, and `holder` the seat of the leader that proposed the command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipEvent {
     /// This sidecar became the leader and may act until `until` without renewing its lease.
@@ -30,15 +31,17 @@
     SteppedDown { term: Term, why: &'static str },
     /// A command was committed.
     CommandCommitted { term: Term, number: Number, holder: Seat, decree: String },
-    /// A snapshot from the leader, up to entry `number`, replaced the local log.
+    /// A snapshot from another instance, up to entry `number`, replaced the local log.
     SnapshotInstalled { number: Number },
-    /// A new group of voters was bootstrapped because no quorum that remembers the old one was left.
+    /// The whole pool agreed on a new group of voters, which begins an era: at the first start, or because no
+    /// quorum that remembers the earlier voters was left.
     Bootstrapped { term: Term },
     /// A command proposed by this sidecar was rejected.
     CommandRejected { decree: String, why: String },
     /// The failure detector changed its view of a member.
     MemberHealthChanged { seat: Seat, health: Health },
-    /// Datagrams dropped since the start: `reason=count` pairs separated by spaces.
+    /// Datagrams were dropped. `counts` has the numbers since the start: `reason=count` pairs separated by
+    /// spaces.
     DatagramsDropped { counts: String },
 }
 
@@ -69,7 +72,7 @@
 /// What the reducer has to do after a step.
 #[derive(Default)]
 pub struct StepOutcome {
-    /// Effects to carry out, in order.
+    /// Effects to be performed, in order.
     pub effects: Vec<Effect>,
     /// The voters and whether this sidecar leads, if either changed; the decision module must be told.
     pub leadership_change: Option<(Vec<Peer>, bool)>,
@@ -166,7 +169,7 @@
         StepOutcome::default()
     }
 
-    /// The state with this sequence number is on stable storage.
+    /// Handles the report that the state with this sequence number is on stable storage.
     pub fn on_state_persisted(&mut self, now: Tenths, number: u64) -> StepOutcome {
         self.step(now, InstanceInput::Persisted(number))
     }
--- a/crates/stagepond-sidecar/src/lifecycle.rs
+++ b/crates/stagepond-sidecar/src/lifecycle.rs
@@ -64,11 +64,13 @@
 pub enum State {
     /// Not ready: there is no pod yet, or only the list of the configuration.
     Starting,
+    /// Invocations are accepted and dispatched.
     Ready,
     /// Told to shut down: idle connections are closed; new ones are accepted, for one invocation each.
     Leaving,
     /// The listener is closed; invocations that were accepted are still answered.
     Draining,
+    /// The program exits.
     Stopped,
 }
 
@@ -107,8 +109,8 @@
     /// Becomes ready if pods are known, from a fresh list or, after [`FRESH_LIST_TIMEOUT`], from an old one.
     pub fn try_become_ready(&mut self, now: Tenths, pods_known: bool, fresh_list: bool) -> Option<State> {
         self.list_timed_out |= now >= self.entered_at + FRESH_LIST_TIMEOUT;
-        let may = self.state == State::Starting && pods_known && (fresh_list || self.list_timed_out);
-        may.then(|| self.enter(State::Ready, now)).flatten()
+        let can_dispatch = pods_known && (fresh_list || self.list_timed_out);
+        (self.state == State::Starting && can_dispatch).then(|| self.enter(State::Ready, now)).flatten()
     }
 
     /// Starts the shutdown, unless it has started.
@@ -117,7 +119,7 @@
         running.then(|| self.enter(State::Leaving, now)).flatten()
     }
 
-    /// The listener is closed and every queued connection was accepted.
+    /// Starts to drain: the listener is closed, and every queued connection was accepted.
     pub fn listener_closed(&mut self, now: Tenths) -> Option<State> {
         (self.state == State::Leaving).then(|| self.enter(State::Draining, now)).flatten()
     }
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -43,31 +43,38 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedRequest {
     pub method: Method,
+    /// Path and query.
     pub target: PathAndQuery,
+    /// Headers without those that concern a single connection.
     pub headers: HeaderMap,
+    /// The body in full, at most [`MAX_BODY_BYTES`] long.
     pub body: Bytes,
 }
 
 /// The parts of a pod's response that are returned to the client unchanged.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ForwardedResponse {
+    /// All headers of the pod's response; the frontend removes those that concern a single connection.
     pub headers: HeaderMap,
+    /// The body in full, at most [`MAX_BODY_BYTES`] long.
     pub body: Bytes,
 }
 
 /// The one answer that a client gets to an invocation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalAnswer {
+    /// A pod ran the invocation and responded with 200.
     Succeeded(ForwardedResponse),
-    /// The invocation did not run; the client may retry after this time span.
+    /// The invocation did not run, or running it again does no harm.
     Throttled {
+        /// How long the client should wait before a retry.
         retry_after: Tenths,
     },
     /// The invocation failed and may have run.
     Terminated,
     /// Another invocation with the same request id is still being handled.
     RequestIdInUse,
-    /// Pods responded, but no response matched the signed metadata.
+    /// Pods responded to an invocation of a verified operation, but no response matched the signed metadata.
     Unverified {
         /// Name of the check that failed.
         failed_check: &'static str,
@@ -79,16 +86,23 @@
 /// One pod as discovery lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PodEntry {
+    /// Identifies the pod from one list to the next.
     pub name: PodName,
+    /// Where the pod accepts dispatches.
     pub address: SocketAddr,
+    /// Zone that the pod runs in.
     pub zone: Zone,
+    /// Kind of machine that the pod runs on.
     pub machine_kind: MachineKind,
+    /// Cell that the pod belongs to; the field `group` of the list.
     pub cell: Cell,
+    /// Whether the pod takes dispatches.
     pub availability: Availability,
     /// Capacity relative to other pods.
     pub weight: f64,
     /// When the pod's process started, if discovery knows.
     pub started_at: Option<Tenths>,
+    /// Build that the pod runs.
     pub build: Build,
 }
 
@@ -99,14 +113,18 @@
     pub index: u64,
     /// True if pods that are missing from `pods` no longer exist; false if `pods` holds changes only.
     pub is_snapshot: bool,
+    /// The pods, in the order of the message.
     pub pods: Vec<PodEntry>,
 }
 
 /// State of the newest build's rollout, as the platform reports it.
 #[derive(Clone, Copy, PartialEq)]
 pub struct RolloutStatus {
+    /// The newest build.
     pub build: Build,
+    /// Stage of the rollout, from 0.
     pub stage: u32,
+    /// Whether the build is on trial, released, being rolled back or rolled back.
     pub phase: Phase,
     /// Greatest share of invocations that the build may get, from 0 to 1.
     pub cap: f64,
@@ -130,57 +148,78 @@
 /// How a dispatch ended, as observed on its connection.
 #[derive(Clone, Debug)]
 pub struct DispatchOutcome {
+    /// How the dispatch ended.
     pub ending: Ending,
+    /// When the last bytes of the response arrived or, without a response, when the end was noticed.
     pub ended_at: Tenths,
     /// Number of invocations in progress at the pod, if it reported one.
     pub in_flight: Option<f64>,
+    /// The pod's response; empty if no complete one arrived.
     pub response: ForwardedResponse,
-    /// The pod answered 404 Not Found.
+    /// The pod responded with 404 Not Found.
     pub not_found: bool,
 }
 
 /// Addresses of discovery and of the platform. A configuration reload may change them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceAddresses {
+    /// Address of discovery, which lists the pods.
     pub discovery: SocketAddr,
+    /// Address of the platform, which rolls out builds; `None` if there is none.
     pub platform: Option<SocketAddr>,
 }
 
 /// The part of the configuration that a reload may change.
 #[derive(Clone, Debug)]
 pub struct ReloadableConfig {
+    /// Addresses of discovery and the platform.
     pub addresses: ServiceAddresses,
     /// The operators' leadership settings, if leadership is on; its keys and frozen builds are applied again.
     pub leadership: Option<crate::operators::LeadershipConfig>,
 }
 
-/// What the reducer is told. Each input is applied at a time that the event loop passes with it.
+/// An input of the reducer. The event loop passes the time at which it is applied along with it.
 #[derive(Clone, Debug)]
 pub enum Input {
+    /// A client sent an invocation; it is complete and its head is valid.
     InvocationReceived {
+        /// Number that the frontend gave the invocation.
         number: InvocationNumber,
+        /// Id that the client gave it.
         request_id: RequestId,
+        /// What is forwarded to a pod.
         request: Arc<ForwardedRequest>,
+        /// The operation.
         op: Op,
-        /// The client's time limit, as a moment of the clock.
+        /// End of the client's time limit.
         deadline: Tenths,
     },
     /// The client disconnected before its answer.
     ClientDisconnected(InvocationNumber),
+    /// A dispatch ended or could not be sent. Has no effect if the reducer has aborted it in the meantime.
     DispatchEnded(DispatchId, DispatchOutcome),
+    /// Discovery sent the pod list or a change to it.
     PodListReceived(PodList),
+    /// The connection to discovery broke; it is being opened again.
     DiscoveryDisconnected,
+    /// The platform's event stream reported a status.
     RolloutStatusReceived(RolloutStatus),
     /// The platform's answer to a vote, or how the request ended without one.
     VoteAnswered(Result<RolloutStatus, Ending>),
-    /// A consumer disputed an answer that `pod` gave to an invocation of `op` this long ago.
+    /// The platform reported that an earlier answer was wrong.
     AnswerDisputed {
+        /// The pod that gave the answer.
         pod: PodName,
+        /// Operation of the invocation.
         op: Op,
+        /// How long ago the answer was given.
         age: Tenths,
     },
+    /// A datagram arrived from the address of another sidecar.
     PeerDatagram {
+        /// Index of the sidecar.
         from: Peer,
+        /// The bytes as they arrived; their content is not checked yet.
         payload: Vec<u8>,
     },
     /// Time has passed; everything that is due by now runs.
@@ -189,47 +228,60 @@
     ReloadRequested,
     /// The configuration file as it is now, or what is wrong with it.
     ConfigRead(Result<ReloadableConfig, String>),
-    /// The Raft state with this number, and so every earlier one, is on disk.
+    /// The Raft state with this number is on disk; it includes every earlier one.
     RaftStatePersisted(u64),
     /// SIGTERM or SIGINT.
     ShutdownRequested,
+    /// The listener is closed, and the connections that were queued on it have been accepted.
     ListenerClosed,
+    /// During the shutdown, no client connection is open.
     AllClientsDisconnected,
 }
 
 /// What the reducer asks the event loop to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send the request to the pod at `to`; the pod is told to answer within `timeout`.
+    /// Send a request to a pod.
     Dispatch {
+        /// Number of the dispatch, for its outcome.
         id: DispatchId,
+        /// The request, without its time limit.
         request: Arc<ForwardedRequest>,
+        /// Address of the pod.
         to: SocketAddr,
+        /// Time limit that the pod is told. The reducer ends the dispatch itself when it has passed.
         timeout: Tenths,
     },
     /// Close the dispatch's connection; its outcome is no longer wanted.
     AbortDispatch(DispatchId),
+    /// Answer an invocation.
     Answer(InvocationNumber, FinalAnswer),
     /// Close the idle connections to this pod address; busy ones close after their dispatch.
     CloseIdleConnections(SocketAddr),
-    /// Send a datagram to one peer, or to all of them.
+    /// Send a datagram.
     SendDatagram {
+        /// The receiver; `None` for all peers.
         to: Option<Peer>,
+        /// The bytes to send.
         payload: Vec<u8>,
     },
-    /// Cast a vote on a trial, or withdraw it if `verdict` is `None`.
+    /// Cast a vote on a trial, or withdraw it.
     CastVote {
+        /// The build on trial.
         build: Build,
+        /// Stage that the vote is about.
         stage: u32,
+        /// The vote; `None` withdraws an earlier one.
         verdict: Option<Verdict>,
         /// Set if leadership is on: the leader's lease, checked against the clock immediately before the
         /// request is written.
         lease: Option<LeaderLease>,
     },
-    /// Write this Raft state to disk in full and flush it, then report [`Input::RaftStatePersisted`] with its
-    /// number.
+    /// Write this Raft state to disk in full and flush it, then report [`Input::RaftStatePersisted`].
     PersistRaftState {
+        /// Sequence number of the state.
         number: u64,
+        /// The encoded [`PersistentState`](stagepond_leadership::raft::PersistentState).
         state: Vec<u8>,
     },
     /// Log an event of leadership.
@@ -248,7 +300,9 @@
     SetPlatformAddress(Option<SocketAddr>),
     /// Accept the connections that are still queued, then close the listener.
     CloseListener,
+    /// Log this line at level info.
     Log(String),
+    /// Log the new lifecycle state and do what it requires of the frontend.
     EnterState(crate::lifecycle::State),
 }
 
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -132,7 +132,7 @@
     pub frozen_builds: Vec<Build>,
 }
 
-/// The checked `tuf` section: an operation whose answers are verified against signed metadata.
+/// The checked `tuf` section: an operation whose responses are verified against signed metadata.
 #[derive(Clone, Debug)]
 pub struct TufConfig {
     /// Settings of the verification.
@@ -144,14 +144,16 @@
 /// The checked operators' file; a section that it does not have is `None`.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorsConfig {
+    /// Leadership among the sidecars.
     pub leadership: Option<LeadershipConfig>,
+    /// Verification of one operation's responses.
     pub tuf: Option<TufConfig>,
 }
 
-/// Reads a key file. Only its owner may have access: whoever can read the key can forge datagrams of every
+/// Reads a key file. Only its owner may have access: whoever can read the key can forge datagrams of any
 /// instance.
-fn read_key(field: &str, number: u8, file: &Path, folder: &Path) -> Result<Key> {
-    let path = folder.join(file);
+fn read_key(field: &str, number: u8, file: &Path, directory: &Path) -> Result<Key> {
+    let path = directory.join(file);
     let context = || format!("{field}: {}", path.display());
     let metadata = std::fs::metadata(&path).with_context(context)?;
     if !metadata.is_file() {
@@ -180,7 +182,7 @@
     Ok(Tenths::floor_ms(ms))
 }
 
-fn check_leadership(section: LeadershipSection, facts: &Facts, folder: &Path) -> Result<LeadershipConfig> {
+fn check_leadership(section: LeadershipSection, facts: &Facts, directory: &Path) -> Result<LeadershipConfig> {
     if !facts.peer_messages {
         bail!("leadership: the settings do not allow datagrams between instances (bounds.peers is false)");
     }
@@ -210,19 +212,19 @@
     settings.absent = section.absent.into_iter().map(Seat).collect();
     settings.durable = section.state.is_some();
     let settings = settings.validate().map_err(|error| anyhow!("leadership.{error}"))?;
-    let sealing_key = read_key("leadership.key.file", section.key.number, &section.key.file, folder)?;
-    let accepted_keys = read_accepted_keys(section.also, &sealing_key, folder)?;
+    let sealing_key = read_key("leadership.key.file", section.key.number, &section.key.file, directory)?;
+    let accepted_keys = read_accepted_keys(section.also, &sealing_key, directory)?;
     Ok(LeadershipConfig {
         settings,
         key_ring: KeyRing { sealing_key, accepted_keys },
-        state_file: section.state.map(|file| folder.join(file)),
+        state_file: section.state.map(|file| directory.join(file)),
         widen_by_decree: section.widen_by_decree,
         frozen_builds: section.frozen.into_iter().map(Build).collect(),
     })
 }
 
 fn read_accepted_keys(
-    entries: Vec<AcceptedKeyEntry>, sealing_key: &Key, folder: &Path,
+    entries: Vec<AcceptedKeyEntry>, sealing_key: &Key, directory: &Path,
 ) -> Result<Vec<(Key, Tenths)>> {
     let mut keys = Vec::new();
     for (index, entry) in entries.into_iter().enumerate() {
@@ -231,13 +233,13 @@
             bail!("{field}.number: {} is already the number of leadership.key", entry.number);
         }
         let accepted_for = parse_time(&format!("{field}.for_ms"), entry.for_ms)?;
-        let key = read_key(&format!("{field}.file"), entry.number, &entry.file, folder)?;
+        let key = read_key(&format!("{field}.file"), entry.number, &entry.file, directory)?;
         keys.push((key, accepted_for));
     }
     Ok(keys)
 }
 
-fn check_tuf(section: TufSection, facts: &Facts, names: &Names, folder: &Path) -> Result<TufConfig> {
+fn check_tuf(section: TufSection, facts: &Facts, names: &Names, directory: &Path) -> Result<TufConfig> {
     let operation = names.operations.iter().position(|name| *name == section.operation);
     let operation = operation
         .with_context(|| format!("tuf.operation: {:?} is not in the settings", section.operation))?;
@@ -252,9 +254,9 @@
             bail!("{field}: {path:?} is not a URL path that begins and ends with /");
         }
     }
-    let root_path = folder.join(&section.root);
+    let root_path = directory.join(&section.root);
     let root = std::fs::read(&root_path).with_context(|| format!("tuf.root: {}", root_path.display()))?;
-    let state_file = section.state.map(|file| folder.join(file));
+    let state_file = section.state.map(|file| directory.join(file));
     let stored_state = state_file.as_deref().map(state_files::read_trusted_metadata).transpose()?.flatten();
     let refresh_interval = parse_time("tuf.refresh_ms", section.refresh_ms.unwrap_or(DEFAULT_REFRESH_MS))?;
     if refresh_interval < MIN_REFRESH_INTERVAL {
@@ -284,9 +286,9 @@
         expired_policy,
         floors,
     };
-    // Fails at startup, and not with the first verified answer, if the root or the stored metadata is bad.
+    // Fails at startup, and not with the first verified response, if the root or the stored metadata is bad.
     ResponseVerifier::new(Tenths(0), verification.clone(), 0)
-        .map_err(|refusal| anyhow!("tuf.root: {refusal}"))?;
+        .map_err(|error| anyhow!("tuf.root: {error}"))?;
     Ok(TufConfig { verification, state_file })
 }
 
@@ -306,14 +308,17 @@
             anyhow!("{}: {field}{}", context(), error.into_inner())
         })?
     };
-    let folder = path.parent().unwrap_or(Path::new("."));
+    let directory = path.parent().unwrap_or(Path::new("."));
     let leadership = file
         .leadership
-        .map(|section| check_leadership(section, facts, folder))
+        .map(|section| check_leadership(section, facts, directory))
+        .transpose()
+        .with_context(context)?;
+    let tuf = file
+        .tuf
+        .map(|section| check_tuf(section, facts, names, directory))
         .transpose()
         .with_context(context)?;
-    let tuf =
-        file.tuf.map(|section| check_tuf(section, facts, names, folder)).transpose().with_context(context)?;
     Ok(OperatorsConfig { leadership, tuf })
 }
 
@@ -335,25 +340,25 @@
 
     /// Writes an operators' file, with one key file that only its owner can read and one that others can.
     fn write_file(text: &str) -> (tempfile::TempDir, PathBuf) {
-        let folder = tempfile::tempdir().unwrap();
+        let directory = tempfile::tempdir().unwrap();
         for (name, mode) in [("good.key", 0o600), ("open.key", 0o644)] {
-            let path = folder.path().join(name);
+            let path = directory.path().join(name);
             std::fs::write(&path, "0123456789abcdef0123456789abcdef\n").unwrap();
             std::fs::set_permissions(&path, std::fs::Permissions::from_mode(mode)).unwrap();
         }
-        let path = folder.path().join("operators.json5");
+        let path = directory.path().join("operators.json5");
         std::fs::write(&path, text).unwrap();
-        (folder, path)
+        (directory, path)
     }
 
     #[rstest]
     fn comments_are_skipped_and_missing_fields_get_defaults() {
-        let (_folder, path) =
+        let (_directory, path) =
             write_file("{ leadership: { key: { number: 1, file: 'good.key' }, /* yes */ hold_ms: 900, } }");
         let config = read(&path, &facts(), &names()).unwrap().leadership.unwrap();
         assert_eq!(config.settings.hold_time, Tenths::ms(900));
         assert!(!format!("{config:?}").contains("0123"), "the Debug output must not contain a key");
-        let (_folder, path) = write_file("{}");
+        let (_directory, path) = write_file("{}");
         assert!(read(&path, &facts(), &names()).unwrap().leadership.is_none());
     }
 
@@ -386,7 +391,7 @@
     )]
     #[case::duplicate_key_number("{ leadership: { key: { number: 1, file: 'good.key' }, also: [{ number: 1, file: 'good.key', for_ms: 1 }] } }", "leadership.also[0].number")]
     fn errors_name_the_field_at_fault(#[case] text: &str, #[case] expected: &str) {
-        let (_folder, path) = write_file(text);
+        let (_directory, path) = write_file(text);
         let error = format!("{:#}", read(&path, &facts(), &names()).unwrap_err());
         assert!(error.contains(expected), "{error}");
     }
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -98,14 +98,16 @@
 
 /// Numbers from here on belong to the reducer's own invocations; clients' numbers never get this high.
 const FIRST_INTERNAL_INVOCATION: InvocationNumber = InvocationNumber(1 << 62);
-/// Metadata files requested while one input is applied. More than one only if a fetch is answered at once,
-/// without waiting for a dispatch.
+/// Limit on the metadata files requested while one input is applied. There is more than one only if a fetch
+/// is answered at once, without waiting for a dispatch.
 const MAX_FETCHES_PER_INPUT: usize = 4;
 
 /// Parts of the reducer that the operators' file enables.
 #[derive(Default)]
 pub struct OptionalParts {
+    /// Leadership: only a leader's votes are cast.
     pub leadership: Option<LeadershipController>,
+    /// Verification of the responses of one operation against signed metadata.
     pub verification: Option<ResponseVerifier>,
 }
 
@@ -143,9 +145,9 @@
         invocation.dispatch_count += 1;
         let deadline = until.min(invocation.deadline);
         let may_overlap = invocation.open_dispatches.is_empty() || self.parallel_dispatches;
-        let refused =
+        let is_refused =
             invocation.answered || nth >= self.max_dispatches || deadline <= self.now || !may_overlap;
-        let Some(&to) = self.addresses.get(&pod).filter(|_| !refused) else {
+        let Some(&to) = self.addresses.get(&pod).filter(|_| !is_refused) else {
             return self.unreported_endings.push_back((inv.clone(), nth, Ending::Moot));
         };
         self.last_dispatch += 1;
@@ -320,7 +322,7 @@
         }
         reducer.drain_queues();
         let effects = std::mem::take(&mut reducer.host.effects);
-        // Answers to the reducer's own invocations are taken with the first input.
+        // Answers to the reducer's own invocations are handled with the first input.
         (reducer, effects)
     }
 
@@ -378,7 +380,7 @@
             }
             Input::ListenerClosed => {
                 let state = self.lifecycle.listener_closed(self.host.now);
-                // Clients count as connected until the front end reports that none is.
+                // Clients count as connected until the frontend reports that none is.
                 self.clients_connected |= state.is_some();
                 self.push_state(state);
             }
@@ -572,8 +574,8 @@
         };
         match verification.check_response(path, &outcome.response.body) {
             CheckResult::Valid => {}
-            CheckResult::Invalid(kind) => {
-                invocation.failed_check = Some(kind);
+            CheckResult::Invalid(failed_check) => {
+                invocation.failed_check = Some(failed_check);
                 outcome.ending = Ending::Error;
                 outcome.response = ForwardedResponse::default();
             }
@@ -608,10 +610,11 @@
     fn on_config_read(&mut self, result: Result<ReloadableConfig, String>) {
         let ReloadableConfig { addresses, leadership } = match result {
             Ok(config) => config,
-            Err(why) => {
-                let retries = self.config_retry.record_failure(self.host.now);
-                let then = if retries { "is read again shortly" } else { "is given up, the old one stays" };
-                return self.host.log(&format!("the new configuration {then}: {why}"));
+            Err(error) => {
+                let will_retry = self.config_retry.record_failure(self.host.now);
+                let next_step =
+                    if will_retry { "is read again shortly" } else { "is given up, the old one stays" };
+                return self.host.log(&format!("the new configuration {next_step}: {error}"));
             }
         };
         self.config_retry.finish();
@@ -706,8 +709,8 @@
         });
     }
 
-    /// Handles a status of the platform: a message of its stream, or with `answers_vote` its answer to a
-    /// vote. Leadership, if it is on, may reduce the share that the module is told.
+    /// Handles a rollout status from the platform: an event of its stream or, if `answers_vote`, its answer
+    /// to a vote. Leadership, if it is on, may reduce the share that the module is told.
     fn on_rollout_status(&mut self, result: Result<RolloutStatus, Ending>, answers_vote: bool) {
         let result = match (result, &mut self.leadership) {
             (Ok(status), Some(leadership)) => {
@@ -720,6 +723,7 @@
         self.report_rollout_status(result, answers_vote);
     }
 
+    /// Passes a rollout status to the module, or how a vote ended without one.
     fn report_rollout_status(&mut self, result: Result<RolloutStatus, Ending>, answers_vote: bool) {
         let unknown =
             RolloutStatus { build: Build(0), stage: 0, phase: Phase::Trial, cap: 0.0, age: Tenths(0) };
--- a/crates/stagepond-sidecar/src/state_files.rs
+++ b/crates/stagepond-sidecar/src/state_files.rs
@@ -15,8 +15,8 @@
 
 use crate::messages::Input;
 
-/// First bytes of a persistent state file. The length of the body (u32, little-endian) and its checksum (u64,
-/// little-endian) follow.
+/// First bytes of a file with a voter's persistent state. The length of the body (u32, little-endian) and its
+/// checksum (u64, little-endian) follow.
 const PERSISTENT_STATE_MAGIC: &[u8; 8] = b"SPPROM01";
 /// First bytes of a trusted metadata file; the header is laid out the same way.
 const TRUSTED_METADATA_MAGIC: &[u8; 8] = b"SPTUF001";
@@ -71,8 +71,8 @@
     Ok(Some(serde_json::from_slice(&body).with_context(field)?))
 }
 
-/// Writes each trusted metadata state that it receives, outside the event loop. A failed write is logged and
-/// the next state is tried.
+/// Writes each state of the trusted metadata that it receives, outside the event loop. A failed write is
+/// logged and not repeated; the next state is written again.
 pub async fn write_trusted_metadata(path: PathBuf, mut states: mpsc::UnboundedReceiver<TrustedState>) {
     while let Some(state) = states.recv().await {
         let Ok(bytes) = serde_json::to_vec(&state) else { return };
@@ -119,7 +119,8 @@
 }
 
 /// Writes the persistent states that it receives, outside the event loop, and confirms each write with
-/// `Input::RaftStatePersisted`. Of several queued states only the last is written, as it includes the others.
+/// [`Input::RaftStatePersisted`]. The states come with their numbers and encoded by
+/// [`PersistentState::encode`]. Of several queued states only the last is written, as it includes the others.
 /// After a failed write nothing is stored or confirmed any more, so the protocol sends no vote or
 /// acknowledgement that depends on it.
 pub async fn write_persistent_states(
@@ -158,8 +159,8 @@
     /// its vote and its log.
     #[rstest]
     fn stored_state_is_read_back_and_a_damaged_file_is_an_error() {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("promises");
+        let directory = tempfile::tempdir().unwrap();
+        let path = directory.path().join("voter-state");
         assert!(read_persistent_state(&path, Seat(1)).unwrap().is_none());
         let state = PersistentState::empty(Seat(1), Memory(7));
         write_persistent_state(&path, &state.encode()).unwrap();
