--- a/crates/stagepond-lab/src/leadership/invariants.rs
+++ b/crates/stagepond-lab/src/leadership/invariants.rs
@@ -7,8 +7,8 @@
 
 use stagepond_leadership::ids::{Seat, Tenths};
 
-/// An invariant that a run violated, with the true time at which it was seen. Reports print the variants and
-/// their fields by name.
+/// An invariant that a run violated; `at` is the true time at which it was seen. Reports print the variants
+/// and their fields by name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// Two instances held a valid lease at the same true time. Each is given by seat and term.
@@ -65,7 +65,8 @@
 }
 
 impl InvariantChecker {
-    /// Takes the seat and term of every instance whose lease is valid at this moment. Called after each event.
+    /// Takes the seat and term of every instance whose lease is valid at this moment. Called after each
+    /// event.
     pub fn observe_lease_holders(&mut self, at: Tenths, holders: &[(Seat, u64)]) {
         if let [one, other, ..] = holders {
             self.violations.push(Violation::TwoLeaders { at, one: *one, other: *other });
--- a/crates/stagepond-lab/src/leadership/processes.rs
+++ b/crates/stagepond-lab/src/leadership/processes.rs
@@ -49,8 +49,8 @@
     dropped: u64,
 }
 
-/// A UDP relay between the processes. It has one socket for each ordered pair: `sockets[a][b]` is what process
-/// `a` takes for the address of `b`.
+/// A UDP relay between the processes. It has one socket for each ordered pair: `sockets[a][b]` is what
+/// process `a` takes for the address of `b`.
 struct Relay {
     sockets: Vec<Vec<Arc<UdpSocket>>>,
     faults: Arc<Mutex<LinkFaults>>,
@@ -322,8 +322,9 @@
     pub violations: Vec<String>,
 }
 
-/// Checks the logs for what must never happen: two entries under one number, terms that don't rise from leader
-/// to leader, and votes that are late, deposed or unfounded.
+/// Checks the logs for what must never happen: two entries under one number, terms that don't rise from
+/// leader to leader, and votes cast after the lease expired, by a process that didn't lead, after a later
+/// leader's start or without a committed command.
 fn audit(log: &[LogRecord]) -> Vec<String> {
     let mut violations = Vec::new();
     // Time, term and process of each leader.
--- a/crates/stagepond-lab/src/leadership/simulation.rs
+++ b/crates/stagepond-lab/src/leadership/simulation.rs
@@ -1,8 +1,8 @@
 //! Deterministic simulation of a group of leadership instances on a virtual clock and network.
 //!
 //! The simulation holds true time, the local clocks and the contents of the disks. It injects the scheduled
-//! faults, sends a load of commands and reports every step to the invariant checker. All randomness comes from
-//! the seed, so equal configurations give equal outcomes and trace hashes.
+//! faults, sends a load of commands and reports every step to the invariant checker. All randomness comes
+//! from the seed, so equal configurations give equal outcomes and trace hashes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,8 +34,8 @@
     DatagramArrives { to: Seat, from: Seat, bytes: Vec<u8> },
     /// The timer of an instance fires. Only the timer that was set last, `timer`, has an effect.
     Wake { seat: Seat, life: Life, timer: u64 },
-    /// The disk completes the write with this version `number`; `promises` is the encoded persistent state that
-    /// it then holds.
+    /// The disk completes the write with this version `number`; `promises` is the encoded persistent state
+    /// that it then holds.
     Written { seat: Seat, life: Life, number: u64, promises: Vec<u8> },
     /// An instance acts on a committed command under its lease, `mandate`. `stepped` counts the steps of its
     /// clock when the action was scheduled: the action is dropped if the clock was stepped since.
@@ -322,8 +322,8 @@
         }
     }
 
-    /// Checks that there is one leader, that all instances have committed the same entries and that the number
-    /// of terms is explained.
+    /// Checks that there is one leader, that all instances have committed the same entries and that the
+    /// number of terms is explained.
     fn check_agreement(&mut self) {
         let at = self.queue.now();
         let is_leader = |node: &&Node| node.instance.as_ref().is_some_and(|i| i.raft().is_leader());
@@ -418,7 +418,8 @@
     }
 
     fn propose_command(&mut self, nth: u32) {
-        // Every instance that believes that it leads proposes the command; the protocol must resolve conflicts.
+        // Every instance that believes that it leads proposes the command; the protocol must resolve
+        // conflicts.
         for seat in (0..self.config.settings.seats).map(Seat) {
             let node = &self.nodes[usize::from(seat.0)];
             if node.instance.as_ref().is_some_and(|i| i.raft().is_leader()) && !node.paused {
@@ -536,8 +537,8 @@
             Fault::NewKey { lasts } => {
                 let new_key = self.key_number.wrapping_add(1);
                 self.key_number = new_key;
-                // First all instances accept the new key; then they start to seal with it, some at once and the
-                // others when the fault ends.
+                // First all instances accept the new key; then they start to seal with it, some at once and
+                // the others when the fault ends.
                 for seat in (0..self.config.settings.seats).map(Seat) {
                     let Some(local_time) = self.running_local_time(seat) else { continue };
                     let until = local_time + *lasts + *lasts;
--- a/crates/stagepond-lab/tests/processes.rs
+++ b/crates/stagepond-lab/tests/processes.rs
@@ -1,5 +1,6 @@
-//! The script with three real processes, as CI runs it: a leader paused in the middle of a vote, partitioned, cut
-//! off in one direction and stopped, then a majority killed. `cargo test --workspace` builds the program first.
+//! The script with three real processes, as CI runs it: a leader paused in the middle of a vote, partitioned,
+//! cut off in one direction and stopped, then a majority killed. `cargo test --workspace` builds the program
+//! first.
 
 use rstest::rstest;
 use stagepond_lab::leadership::processes;
