--- a/crates/stagepond-ctl/src/main.rs
+++ b/crates/stagepond-ctl/src/main.rs
@@ -1,5 +1,5 @@
-//! The operators' command line. It owns the words on it, the tables and the exit codes; what it does stands in
-//! the modules beside it.
+//! `stagepondctl`, the operators' command line. This file parses the arguments; each subcommand has a module
+//! that does the work, prints the result and chooses the exit code.
 
 mod tuf;
 
@@ -7,22 +7,22 @@
 
 use clap::{Parser, Subcommand};
 
-/// Works on what stagepond trusts and serves.
+/// Manages what stagepond trusts and serves
 #[derive(Parser)]
 #[command(name = "stagepondctl", version)]
-struct Line {
+struct Cli {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Signed metadata: make, sign, publish and verify a repository
+    /// TUF metadata: create, sign, publish and verify a repository
     #[command(subcommand)]
     Tuf(tuf::Command),
 }
 
 fn main() -> ExitCode {
-    let Line { command: Command::Tuf(command) } = Line::parse();
+    let Cli { command: Command::Tuf(command) } = Cli::parse();
     tuf::run(command)
 }
--- a/crates/stagepond-ctl/src/tuf.rs
+++ b/crates/stagepond-ctl/src/tuf.rs
@@ -1,11 +1,18 @@
-//! A repository in a folder: `metadata/` and `targets/` are what readers see, `keys/` is the signer's alone, and
-//! `repository.json` is what is to be signed next. It owns the files; it must never show a key, write over a
-//! file of metadata that was published, or let a reader see half of a release.
+//! `stagepondctl tuf`: a TUF repository in a folder.
+//!
+//! | path | content |
+//! | --- | --- |
+//! | `metadata/`, `targets/` | what clients read |
+//! | `keys/` | private keys; only the signer may read them |
+//! | `repository.json` | what the next release will sign |
+//!
+//! Private keys are never printed. Published metadata is never overwritten, except `timestamp.json`. Clients
+//! never see a partial release.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
-use std::io::Write;
-use std::os::unix::fs::{MetadataExt, OpenOptionsExt};
+use std::io::{Read, Write};
+use std::os::unix::fs::{MetadataExt, OpenOptionsExt, PermissionsExt};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -19,29 +26,53 @@
 use stagepond_tuf::repository::{Repository, Terms, Written};
 use stagepond_tuf::target::{describe, Checking};
 
+const METADATA_FOLDER: &str = "metadata";
+const TARGETS_FOLDER: &str = "targets";
+const KEYS_FOLDER: &str = "keys";
+const REPOSITORY_FILE: &str = "repository.json";
+const TIMESTAMP_FILE: &str = "timestamp.json";
+const FIRST_ROOT: &str = "metadata/1.root.json";
+
+/// File name extension of private keys (PKCS #8).
+const KEY_EXTENSION: &str = "pk8";
+/// How many characters of the key ID a key's file name holds.
+const KEY_ID_PREFIX_LENGTH: usize = 16;
+
+/// File mode of private keys.
+const PRIVATE_FILE_MODE: u32 = 0o600;
+/// File mode of everything else.
+const PUBLIC_FILE_MODE: u32 = 0o644;
+
+const EXIT_EXPIRED: u8 = 3;
+const EXIT_NOT_SIGNED: u8 = 4;
+const EXIT_NOT_AS_ANNOUNCED: u8 = 5;
+const EXIT_UNREADABLE: u8 = 6;
+
+/// Subcommands of `stagepondctl tuf`.
+// clap derives the command line's names from the names of variants and fields.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Make a repository with new keys and its first root
+    /// Create a repository with new keys and its first root
     Init {
         folder: PathBuf,
-        /// Keys for root and for targets
+        /// Number of keys for root and for targets
         #[arg(long, default_value_t = 3)]
         keys: usize,
-        /// How many of them must sign
+        /// How many of these keys must sign
         #[arg(long, default_value_t = 2)]
         threshold: u32,
     },
-    /// Add a target, or a new version of one; it counts from the next publish on
+    /// Add a target, or a new version of one, to the next release
     Add {
         folder: PathBuf,
         file: PathBuf,
-        /// Its name for readers; the file's own name unless given
+        /// Target path for clients; default: the file's own name
         #[arg(long = "as")]
         name: Option<String>,
     },
-    /// Take a target out of the next release
+    /// Remove a target from the next release
     Remove { folder: PathBuf, name: String },
-    /// Sign a whole release and publish it; readers see the one before until its timestamp stands
+    /// Sign and publish a release; clients see the previous one until the new timestamp is written
     Publish { folder: PathBuf },
     /// Give a role new keys and publish the next root
     Rotate {
@@ -53,22 +84,22 @@
         #[arg(long, default_value_t = 1)]
         threshold: u32,
     },
-    /// Read a repository as a tablet would, from a root that is trusted
+    /// Verify a repository as a client does, from a trusted root
     Verify {
         folder: PathBuf,
-        /// The root that is trusted; the repository's own first one unless given
+        /// The trusted root; default: the repository's first root
         #[arg(long)]
         root: Option<PathBuf>,
-        /// Check the bytes of this target, too
+        /// Also verify the content of this target
         #[arg(long)]
         target: Vec<String>,
         #[arg(long)]
         json: bool,
-        /// As of this moment (RFC 3339) and not of now
+        /// Verify as of this time (RFC 3339); default: now
         #[arg(long)]
         at: Option<jiff::Timestamp>,
     },
-    /// What is published and when it ends
+    /// Show the published versions and when they expire
     Show {
         folder: PathBuf,
         #[arg(long)]
@@ -76,290 +107,354 @@
     },
 }
 
-/// Exit codes: 0 well, 1 could not be done, 2 wrong words on the command line, 3 not current, 4 not signed as it
-/// must be, 5 older than or other than what was announced, 6 not readable or not there.
-fn code(refusal: &Refusal) -> u8 {
-    match refusal.kind() {
-        "expired" => 3,
-        "threshold" => 4,
-        "rollback" | "other_version" | "other_bytes" | "dropped" | "below_floor" => 5,
-        _ => 6,
+/// Returns the exit code for rejected metadata.
+///
+/// Exit codes of the program: 0 success, 1 failure, 2 wrong arguments, 3 expired, 4 not signed by enough keys,
+/// 5 older than or different from what was announced, 6 unreadable or missing.
+fn metadata_exit_code(error: &Refusal) -> u8 {
+    match error.kind() {
+        "expired" => EXIT_EXPIRED,
+        "threshold" => EXIT_NOT_SIGNED,
+        "rollback" | "other_version" | "other_bytes" | "dropped" | "below_floor" => EXIT_NOT_AS_ANNOUNCED,
+        _ => EXIT_UNREADABLE,
     }
 }
 
-const FILE: &str = "repository.json";
-
 fn now() -> Second {
     Second(jiff::Timestamp::now().as_second())
 }
 
-/// Whole or not at all, also when the machine stops amid it.
-fn write(path: &Path, bytes: &[u8], mode: u32) -> Result<()> {
-    let at = || path.display().to_string();
-    let new = path.with_extension("new");
-    let mut file =
-        OpenOptions::new().write(true).create(true).truncate(true).mode(mode).open(&new).with_context(at)?;
-    file.write_all(bytes).and_then(|()| file.sync_all()).with_context(at)?;
-    fs::rename(&new, path).with_context(at)?;
-    let folder = path.parent().context("a file has a folder")?;
-    File::open(folder).and_then(|f| f.sync_all()).with_context(at)
+/// Writes a file atomically and durably: after a crash it has either its old or its new content.
+fn write_atomically(path: &Path, bytes: &[u8], mode: u32) -> Result<()> {
+    let context = || format!("cannot write {}", path.display());
+    let temporary = path.with_extension("new");
+    let mut file = OpenOptions::new()
+        .write(true)
+        .create(true)
+        .truncate(true)
+        .mode(mode)
+        .open(&temporary)
+        .with_context(context)?;
+    file.write_all(bytes).and_then(|()| file.sync_all()).with_context(context)?;
+    fs::rename(&temporary, path).with_context(context)?;
+    let folder = path.parent().context("a file path without a folder")?;
+    File::open(folder).and_then(|f| f.sync_all()).with_context(context)
 }
 
-fn read_state(folder: &Path) -> Result<Repository> {
-    let path = folder.join(FILE);
-    let bytes = fs::read(&path).with_context(|| format!("{}: no repository?", path.display()))?;
-    serde_json::from_slice(&bytes).with_context(|| path.display().to_string())
+fn read_repository(folder: &Path) -> Result<Repository> {
+    let path = folder.join(REPOSITORY_FILE);
+    let bytes =
+        fs::read(&path).with_context(|| format!("cannot read {} (not a repository?)", path.display()))?;
+    serde_json::from_slice(&bytes).with_context(|| format!("cannot parse {}", path.display()))
 }
 
-fn write_state(folder: &Path, repository: &Repository) -> Result<()> {
-    write(&folder.join(FILE), &serde_json::to_vec_pretty(repository)?, 0o644)
+fn write_repository(folder: &Path, repository: &Repository) -> Result<()> {
+    let bytes = serde_json::to_vec_pretty(repository)?;
+    write_atomically(&folder.join(REPOSITORY_FILE), &bytes, PUBLIC_FILE_MODE)
 }
 
-fn new_keys(folder: &Path, role: &str, count: usize) -> Result<Vec<Secret>> {
-    let mut secrets = Vec::new();
+/// Generates keys for a role and stores them in the repository's key folder.
+fn generate_keys(folder: &Path, role: &str, count: usize) -> Result<Vec<Secret>> {
+    let mut keys = Vec::new();
     for _ in 0..count {
-        let (secret, pkcs8) = Secret::generate()?;
-        write(&folder.join("keys").join(format!("{role}-{}.pk8", &secret.id().0[..16])), &pkcs8, 0o600)?;
-        secrets.push(secret);
+        let (key, pkcs8) = Secret::generate()?;
+        let id_prefix = &key.id().0[..KEY_ID_PREFIX_LENGTH];
+        let path = folder.join(KEYS_FOLDER).join(format!("{role}-{id_prefix}.{KEY_EXTENSION}"));
+        write_atomically(&path, &pkcs8, PRIVATE_FILE_MODE)?;
+        keys.push(key);
     }
-    Ok(secrets)
+    Ok(keys)
 }
 
-/// All keys at hand. One that others may read is refused: it is no key any more.
-fn secrets(folder: &Path) -> Result<Vec<Secret>> {
-    let mut secrets = Vec::new();
-    let keys = folder.join("keys");
-    for entry in fs::read_dir(&keys).with_context(|| keys.display().to_string())? {
+/// Reads all private keys in the repository's key folder.
+///
+/// # Errors
+///
+/// Fails if a key file is readable by other users: that key may have been copied and must not sign any more.
+fn read_signing_keys(folder: &Path) -> Result<Vec<Secret>> {
+    let mut signing_keys = Vec::new();
+    let keys_folder = folder.join(KEYS_FOLDER);
+    let entries =
+        fs::read_dir(&keys_folder).with_context(|| format!("cannot read {}", keys_folder.display()))?;
+    for entry in entries {
         let path = entry?.path();
-        if path.extension().is_none_or(|e| e != "pk8") {
+        if path.extension().is_none_or(|extension| extension != KEY_EXTENSION) {
             continue;
         }
         let mode = fs::metadata(&path)?.mode() & 0o777;
         if mode & 0o077 != 0 {
             bail!(
-                "{}: mode {mode:o} lets others read it; chmod 600, and rotate it if they may have",
+                "{}: mode {mode:o} lets other users read this key; chmod 600, and rotate it if they may have \
+                 read it",
                 path.display()
             );
         }
-        secrets.push(Secret::read(&fs::read(&path)?).with_context(|| path.display().to_string())?);
+        let key =
+            Secret::read(&fs::read(&path)?).with_context(|| format!("cannot use {}", path.display()))?;
+        signing_keys.push(key);
     }
-    Ok(secrets)
+    Ok(signing_keys)
 }
 
-/// In the order given, each whole before the next: the timestamp comes last and makes the release.
-fn publish(folder: &Path, written: &[Written]) -> Result<()> {
-    for Written { path, bytes } in written {
-        let to = folder.join("metadata").join(path);
-        if path != "timestamp.json" && to.exists() {
-            bail!("{}: was published already", to.display());
+/// Writes metadata files in the given order, each one completely before the next. The timestamp comes last:
+/// clients see the new release once it is written.
+fn write_metadata(folder: &Path, files: &[Written]) -> Result<()> {
+    for Written { path, bytes } in files {
+        let destination = folder.join(METADATA_FOLDER).join(path);
+        if path != TIMESTAMP_FILE && destination.exists() {
+            bail!("{} already exists; published metadata is not overwritten", destination.display());
         }
-        write(&to, bytes, 0o644)?;
+        write_atomically(&destination, bytes, PUBLIC_FILE_MODE)?;
     }
     Ok(())
 }
 
-fn init(folder: &Path, keys: usize, threshold: u32) -> Result<()> {
-    if folder.join(FILE).exists() {
-        bail!("{}: is a repository already", folder.display());
+fn init(folder: &Path, key_count: usize, threshold: u32) -> Result<()> {
+    if folder.join(REPOSITORY_FILE).exists() {
+        bail!("{} is already a repository", folder.display());
     }
-    for part in ["metadata", "targets", "keys"] {
+    for part in [METADATA_FOLDER, TARGETS_FOLDER, KEYS_FOLDER] {
         fs::create_dir_all(folder.join(part))?;
     }
-    fs::set_permissions(folder.join("keys"), std::os::unix::fs::PermissionsExt::from_mode(0o700))?;
-    let made: BTreeMap<&str, Vec<Secret>> = [(ROOT, keys), (TARGETS, keys), (SNAPSHOT, 1), (TIMESTAMP, 1)]
-        .into_iter()
-        .map(|(role, count)| Ok((role, new_keys(folder, role, count)?)))
-        .collect::<Result<_>>()?;
-    let roles = made
+    fs::set_permissions(folder.join(KEYS_FOLDER), PermissionsExt::from_mode(0o700))?;
+    let role_keys: BTreeMap<&str, Vec<Secret>> =
+        [(ROOT, key_count), (TARGETS, key_count), (SNAPSHOT, 1), (TIMESTAMP, 1)]
+            .into_iter()
+            .map(|(role, count)| Ok((role, generate_keys(folder, role, count)?)))
+            .collect::<Result<_>>()?;
+    let roles = role_keys
         .iter()
-        .map(|(role, secrets)| {
-            let needed = if secrets.len() == 1 { 1 } else { threshold };
-            (role.to_string(), (secrets.iter().collect(), needed))
+        .map(|(role, keys)| {
+            let role_threshold = if keys.len() == 1 { 1 } else { threshold };
+            (role.to_string(), (keys.iter().collect(), role_threshold))
         })
         .collect();
     let mut repository = Repository::new(&roles, Terms::default())?;
-    let by: Vec<&Secret> = made[ROOT].iter().collect();
-    let root = repository.publish_root(&by, now())?;
-    publish(folder, &[root])?;
-    write_state(folder, &repository)?;
+    let root_signers: Vec<&Secret> = role_keys[ROOT].iter().collect();
+    let root = repository.publish_root(&root_signers, now())?;
+    write_metadata(folder, &[root])?;
+    write_repository(folder, &repository)?;
     println!(
-        "made {}: give metadata/1.root.json to those who are to trust it, and move the root keys away",
+        "created {}; distribute {FIRST_ROOT} to the clients that are to trust it, and store the root keys \
+         elsewhere",
         folder.display()
     );
     Ok(())
 }
 
 fn add(folder: &Path, file: &Path, name: Option<String>) -> Result<()> {
-    let mut repository = read_state(folder)?;
-    let bytes = fs::read(file).with_context(|| file.display().to_string())?;
-    let own = || file.file_name().and_then(|n| n.to_str()).map(str::to_string);
-    let name = name.or_else(own).context("the file has no name; give one with --as")?;
-    let odd = |part: &str| part.is_empty() || part == "." || part == "..";
-    if name.split('/').any(odd) {
-        bail!("--as: {name:?} leads elsewhere");
+    let mut repository = read_repository(folder)?;
+    let bytes = fs::read(file).with_context(|| format!("cannot read {}", file.display()))?;
+    let file_name = || file.file_name().and_then(|n| n.to_str()).map(str::to_string);
+    let name = name.or_else(file_name).context("the file has no name; give one with --as")?;
+    let is_unsafe = |part: &str| part.is_empty() || part == "." || part == "..";
+    if name.split('/').any(is_unsafe) {
+        bail!("--as: {name:?} must not contain empty parts, `.` or `..`");
     }
     let target = describe(&bytes);
     let (parent, last) = name.rsplit_once('/').unwrap_or(("", &name));
-    let to = folder.join("targets").join(parent);
-    fs::create_dir_all(&to)?;
-    write(&to.join(format!("{}.{last}", target.hashes["sha256"])), &bytes, 0o644)?;
+    let target_folder = folder.join(TARGETS_FOLDER).join(parent);
+    fs::create_dir_all(&target_folder)?;
+    let stored_name = format!("{}.{last}", target.hashes["sha256"]);
+    write_atomically(&target_folder.join(stored_name), &bytes, PUBLIC_FILE_MODE)?;
     repository.targets.targets.insert(name.clone(), target);
-    write_state(folder, &repository)?;
+    write_repository(folder, &repository)?;
     println!("{name}: {} bytes, in the next release", bytes.len());
     Ok(())
 }
 
-fn rotate(folder: &Path, role: &str, keys: usize, threshold: u32) -> Result<()> {
-    let mut repository = read_state(folder)?;
-    let old = secrets(folder)?;
-    let new = new_keys(folder, role, keys)?;
-    let by_old = repository.root.roles[ROOT].clone();
-    repository.rotate(role, &new.iter().collect::<Vec<_>>(), threshold)?;
-    let root_keys = &repository.root.roles[ROOT].keyids;
-    let signs = |s: &&Secret| by_old.keyids.contains(s.id()) || root_keys.contains(s.id());
-    let by: Vec<&Secret> = old.iter().chain(&new).filter(signs).collect();
-    let from_old = by.iter().filter(|s| by_old.keyids.contains(s.id())).count();
-    if from_old < by_old.threshold as usize {
-        bail!("{from_old} keys of the present root at hand, {} are needed", by_old.threshold);
+fn remove(folder: &Path, name: &str) -> Result<()> {
+    let mut repository = read_repository(folder)?;
+    if repository.targets.targets.remove(name).is_none() {
+        bail!("target {name:?} is not in the repository");
     }
-    let root = repository.publish_root(&by, now())?;
-    println!("{role}: {} new keys in {}; publish next, so that they have signed", new.len(), root.path);
-    publish(folder, &[root])?;
-    write_state(folder, &repository)
+    write_repository(folder, &repository)
 }
 
-/// Reads files of the folder as a client asks for them.
-fn carry(client: &mut Client, folder: &Path, first: Result<Came, Refusal>) -> Result<Came, Refusal> {
-    use std::io::Read;
-    let mut came = first;
+fn publish(folder: &Path) -> Result<()> {
+    let mut repository = read_repository(folder)?;
+    let signing_keys = read_signing_keys(folder)?;
+    let files = repository.publish(&signing_keys.iter().collect::<Vec<_>>(), now())?;
+    // The repository file is written first: if publishing is interrupted, version numbers are skipped but never
+    // used twice.
+    write_repository(folder, &repository)?;
+    write_metadata(folder, &files)?;
+    files.iter().for_each(|file| println!("{} {} bytes", file.path, file.bytes.len()));
+    Ok(())
+}
+
+/// Replaces a role's keys. The next root is signed with the keys of the current root and of the next one, as
+/// clients require (TUF specification, section 5.3.4).
+fn rotate(folder: &Path, role: &str, key_count: usize, threshold: u32) -> Result<()> {
+    let mut repository = read_repository(folder)?;
+    let existing_keys = read_signing_keys(folder)?;
+    let new_keys = generate_keys(folder, role, key_count)?;
+    let current_root = repository.root.roles[ROOT].clone();
+    repository.rotate(role, &new_keys.iter().collect::<Vec<_>>(), threshold)?;
+    let next_root_ids = &repository.root.roles[ROOT].keyids;
+    let signs_root =
+        |key: &&Secret| current_root.keyids.contains(key.id()) || next_root_ids.contains(key.id());
+    let signers: Vec<&Secret> = existing_keys.iter().chain(&new_keys).filter(signs_root).collect();
+    let current_signers = signers.iter().filter(|key| current_root.keyids.contains(key.id())).count();
+    if current_signers < current_root.threshold as usize {
+        bail!(
+            "{current_signers} keys of the current root available, threshold is {}",
+            current_root.threshold
+        );
+    }
+    let root = repository.publish_root(&signers, now())?;
+    println!(
+        "{role}: {} new keys in {}; run publish next, so that they sign a release",
+        new_keys.len(),
+        root.path
+    );
+    write_metadata(folder, &[root])?;
+    write_repository(folder, &repository)
+}
+
+/// Passes the metadata files that the client requests from the folder, until it requests no more.
+fn supply_metadata(
+    client: &mut Client, folder: &Path, first: Result<Came, Refusal>,
+) -> Result<Came, Refusal> {
+    let mut progress = first;
     loop {
-        let want = match came? {
-            Came::More(want) => want,
-            end => return Ok(end),
+        let request = match progress? {
+            Came::More(request) => request,
+            finished => return Ok(finished),
         };
         let mut bytes = Vec::new();
-        let file = File::open(folder.join("metadata").join(&want.path));
-        let read = file.and_then(|file| file.take(want.limit + 1).read_to_end(&mut bytes));
-        came = if read.is_ok() { client.came(&bytes) } else { client.missing() };
+        let file = File::open(folder.join(METADATA_FOLDER).join(&request.path));
+        // One byte more than allowed, so that the client notices a file that is too long.
+        let read = file.and_then(|file| file.take(request.limit + 1).read_to_end(&mut bytes));
+        progress = if read.is_ok() { client.came(&bytes) } else { client.missing() };
     }
 }
 
-struct Failed {
-    why: String,
+/// Why a repository failed verification.
+struct VerifyError {
+    reason: String,
+    /// Written as `kind` in the JSON report.
     kind: &'static str,
-    code: u8,
+    exit_code: u8,
 }
 
-fn refused(refusal: Refusal) -> Failed {
-    Failed { why: refusal.to_string(), kind: refusal.kind(), code: code(&refusal) }
+impl VerifyError {
+    fn unreadable(path: &Path, error: &std::io::Error) -> VerifyError {
+        let reason = format!("{}: {error}", path.display());
+        VerifyError { reason, kind: "unreadable", exit_code: EXIT_UNREADABLE }
+    }
+}
+
+impl From<Refusal> for VerifyError {
+    fn from(error: Refusal) -> VerifyError {
+        let exit_code = metadata_exit_code(&error);
+        VerifyError { reason: error.to_string(), kind: error.kind(), exit_code }
+    }
 }
 
-fn verify(folder: &Path, root: &Path, targets: &[String], at: Second) -> Result<Client, Failed> {
-    let other = |why: String| Failed { why, kind: "unreadable", code: 6 };
-    let bytes = fs::read(root).map_err(|e| other(format!("{}: {e}", root.display())))?;
-    let mut client =
-        Client::new(&bytes, Floors::default(), Limits::default(), Planted::default()).map_err(refused)?;
-    let want = client.refresh(at);
-    carry(&mut client, folder, Ok(Came::More(want))).map_err(refused)?;
+/// Verifies the repository from a trusted root, and the content of the named targets.
+fn verify(folder: &Path, root: &Path, targets: &[String], at: Second) -> Result<Client, VerifyError> {
+    let root_bytes = fs::read(root).map_err(|error| VerifyError::unreadable(root, &error))?;
+    let mut client = Client::new(&root_bytes, Floors::default(), Limits::default(), Planted::default())?;
+    let first_request = client.refresh(at);
+    supply_metadata(&mut client, folder, Ok(Came::More(first_request)))?;
     for name in targets {
         let first = client.find(at, 0, name);
-        let Came::Found { target, .. } = carry(&mut client, folder, first).map_err(refused)? else {
+        let Came::Found { target, .. } = supply_metadata(&mut client, folder, first)? else {
             continue;
         };
-        let path = folder.join("targets").join(client.target_path(name, &target));
-        let bytes = fs::read(&path).map_err(|e| other(format!("{}: {e}", path.display())))?;
-        let mut checking = Checking::of(&target, Planted::default());
-        let checked = checking.came(&bytes).and_then(|()| checking.ends());
-        checked.map_err(|why| Failed { why: format!("{name}: {why}"), kind: "target", code: 5 })?;
+        let path = folder.join(TARGETS_FOLDER).join(client.target_path(name, &target));
+        let bytes = fs::read(&path).map_err(|error| VerifyError::unreadable(&path, &error))?;
+        let mut verifier = Checking::of(&target, Planted::default());
+        verifier.came(&bytes).and_then(|()| verifier.ends()).map_err(|error| VerifyError {
+            reason: format!("{name}: {error}"),
+            kind: "target",
+            exit_code: EXIT_NOT_AS_ANNOUNCED,
+        })?;
     }
     Ok(client)
 }
 
-fn table(client: &Client, at: Second) {
-    println!("{:<10} {:>8}  {:<21} left", "role", "version", "ends");
-    for (role, version, ends) in client.trusted() {
-        let left = ends.0 - at.0;
+fn print_table(client: &Client, at: Second) {
+    println!("{:<10} {:>8}  {:<21} time left", "role", "version", "expires");
+    for (role, version, expires) in client.trusted() {
+        let seconds_left = expires.0 - at.0;
         println!(
             "{role:<10} {:>8}  {:<21} {} h {} min",
             version.0,
-            ends.to_string(),
-            left / 3600,
-            left % 3600 / 60
+            expires.to_string(),
+            seconds_left / 3600,
+            seconds_left % 3600 / 60
         );
     }
 }
 
-fn report(client: &Client) -> serde_json::Value {
-    let roles = client.trusted().into_iter();
-    let roles: Vec<_> = roles
-        .map(|(role, v, ends)| json!({"role": role, "version": v.0, "expires": ends.to_string()}))
+fn json_report(client: &Client) -> serde_json::Value {
+    let roles: Vec<_> = client
+        .trusted()
+        .into_iter()
+        .map(|(role, version, expires)| {
+            json!({"role": role, "version": version.0, "expires": expires.to_string()})
+        })
         .collect();
     json!({ "well": true, "roles": roles })
 }
 
+fn run_verify(folder: &Path, root: &Path, targets: &[String], json: bool, at: Second) -> ExitCode {
+    match verify(folder, root, targets, at) {
+        Ok(client) if json => {
+            println!("{}", json_report(&client));
+            ExitCode::SUCCESS
+        }
+        Ok(client) => {
+            print_table(&client, at);
+            targets.iter().for_each(|name| println!("{name}: content matches the signed metadata"));
+            ExitCode::SUCCESS
+        }
+        Err(VerifyError { reason, kind, exit_code }) => {
+            if json {
+                println!("{}", json!({"well": false, "kind": kind, "why": reason}));
+            }
+            eprintln!("stagepondctl: {reason}");
+            ExitCode::from(exit_code)
+        }
+    }
+}
+
+fn run_show(folder: &Path, json: bool) -> ExitCode {
+    // Verified as of 1970, so that expired metadata is shown too.
+    match verify(folder, &folder.join(FIRST_ROOT), &[], Second(0)) {
+        Ok(client) => {
+            if json {
+                println!("{}", json_report(&client));
+            } else {
+                print_table(&client, now());
+            }
+            ExitCode::SUCCESS
+        }
+        Err(error) => {
+            eprintln!("stagepondctl: {}", error.reason);
+            ExitCode::from(error.exit_code)
+        }
+    }
+}
+
+/// Runs a subcommand, prints its result and returns the exit code.
 pub fn run(command: Command) -> ExitCode {
-    let done = match command {
+    let result = match command {
         Command::Init { folder, keys, threshold } => init(&folder, keys, threshold),
         Command::Add { folder, file, name } => add(&folder, &file, name),
-        Command::Remove { folder, name } => read_state(&folder).and_then(|mut repository| {
-            if repository.targets.targets.remove(&name).is_none() {
-                bail!("{name:?} is not in it");
-            }
-            write_state(&folder, &repository)
-        }),
-        Command::Publish { folder } => (|| {
-            let mut repository = read_state(&folder)?;
-            let secrets = secrets(&folder)?;
-            let written = repository.publish(&secrets.iter().collect::<Vec<_>>(), now())?;
-            // The state goes first: a release that was cut short leaves numbers unused, never used twice.
-            write_state(&folder, &repository)?;
-            publish(&folder, &written)?;
-            written.iter().for_each(|w| println!("{} {} bytes", w.path, w.bytes.len()));
-            Ok(())
-        })(),
+        Command::Remove { folder, name } => remove(&folder, &name),
+        Command::Publish { folder } => publish(&folder),
         Command::Rotate { folder, role, keys, threshold } => rotate(&folder, &role, keys, threshold),
         Command::Verify { folder, root, target, json, at } => {
             let at = at.map_or_else(now, |at| Second(at.as_second()));
-            let root = root.unwrap_or_else(|| folder.join("metadata/1.root.json"));
-            return match verify(&folder, &root, &target, at) {
-                Ok(client) if json => {
-                    println!("{}", report(&client));
-                    ExitCode::SUCCESS
-                }
-                Ok(client) => {
-                    table(&client, at);
-                    target.iter().for_each(|name| println!("{name}: as it was signed"));
-                    ExitCode::SUCCESS
-                }
-                Err(Failed { why, kind, code }) => {
-                    if json {
-                        println!("{}", json!({"well": false, "kind": kind, "why": why}));
-                    }
-                    eprintln!("stagepondctl: {why}");
-                    ExitCode::from(code)
-                }
-            };
-        }
-        Command::Show { folder, json } => {
-            let root = folder.join("metadata/1.root.json");
-            // Also what has ended is shown: so as of the beginning.
-            return match verify(&folder, &root, &[], Second(0)) {
-                Ok(client) => {
-                    if json {
-                        println!("{}", report(&client));
-                    } else {
-                        table(&client, now());
-                    }
-                    ExitCode::SUCCESS
-                }
-                Err(failed) => {
-                    eprintln!("stagepondctl: {}", failed.why);
-                    ExitCode::from(failed.code)
-                }
-            };
+            let root = root.unwrap_or_else(|| folder.join(FIRST_ROOT));
+            return run_verify(&folder, &root, &target, json, at);
         }
+        Command::Show { folder, json } => return run_show(&folder, json),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("stagepondctl: {error:#}");
