--- a/crates/stagepond-ctl/src/tuf.rs
+++ b/crates/stagepond-ctl/src/tuf.rs
@@ -19,12 +19,12 @@
 use anyhow::{bail, Context, Result};
 use clap::Subcommand;
 use serde_json::json;
-use stagepond_tuf::client::{Came, Client, Floors, Limits, Refusal};
-use stagepond_tuf::form::{Second, ROOT, SNAPSHOT, TARGETS, TIMESTAMP};
-use stagepond_tuf::keys::Secret;
+use stagepond_tuf::client::{Client, Limits, MetadataError, Progress, VersionFloors};
+use stagepond_tuf::keys::SigningKey;
+use stagepond_tuf::metadata::{UnixSeconds, ROOT, SNAPSHOT, TARGETS, TIMESTAMP};
 use stagepond_tuf::planted::Planted;
-use stagepond_tuf::repository::{Repository, Terms, Written};
-use stagepond_tuf::target::{describe, Checking};
+use stagepond_tuf::repository::{ExpiryPeriods, MetadataFile, Repository};
+use stagepond_tuf::target::{describe_target, TargetVerifier};
 
 const METADATA_FOLDER: &str = "metadata";
 const TARGETS_FOLDER: &str = "targets";
@@ -111,7 +111,7 @@
 ///
 /// Exit codes of the program: 0 success, 1 failure, 2 wrong arguments, 3 expired, 4 not signed by enough keys,
 /// 5 older than or different from what was announced, 6 unreadable or missing.
-fn metadata_exit_code(error: &Refusal) -> u8 {
+fn metadata_exit_code(error: &MetadataError) -> u8 {
     match error.kind() {
         "expired" => EXIT_EXPIRED,
         "threshold" => EXIT_NOT_SIGNED,
@@ -120,8 +120,8 @@
     }
 }
 
-fn now() -> Second {
-    Second(jiff::Timestamp::now().as_second())
+fn now() -> UnixSeconds {
+    UnixSeconds(jiff::Timestamp::now().as_second())
 }
 
 /// Writes a file atomically and durably: after a crash it has either its old or its new content.
@@ -154,10 +154,10 @@
 }
 
 /// Generates keys for a role and stores them in the repository's key folder.
-fn generate_keys(folder: &Path, role: &str, count: usize) -> Result<Vec<Secret>> {
+fn generate_keys(folder: &Path, role: &str, count: usize) -> Result<Vec<SigningKey>> {
     let mut keys = Vec::new();
     for _ in 0..count {
-        let (key, pkcs8) = Secret::generate()?;
+        let (key, pkcs8) = SigningKey::generate()?;
         let id_prefix = &key.id().0[..KEY_ID_PREFIX_LENGTH];
         let path = folder.join(KEYS_FOLDER).join(format!("{role}-{id_prefix}.{KEY_EXTENSION}"));
         write_atomically(&path, &pkcs8, PRIVATE_FILE_MODE)?;
@@ -171,7 +171,7 @@
 /// # Errors
 ///
 /// Fails if a key file is readable by other users: that key may have been copied and must not sign any more.
-fn read_signing_keys(folder: &Path) -> Result<Vec<Secret>> {
+fn read_signing_keys(folder: &Path) -> Result<Vec<SigningKey>> {
     let mut signing_keys = Vec::new();
     let keys_folder = folder.join(KEYS_FOLDER);
     let entries =
@@ -189,8 +189,8 @@
                 path.display()
             );
         }
-        let key =
-            Secret::read(&fs::read(&path)?).with_context(|| format!("cannot use {}", path.display()))?;
+        let key = SigningKey::from_pkcs8(&fs::read(&path)?)
+            .with_context(|| format!("cannot use {}", path.display()))?;
         signing_keys.push(key);
     }
     Ok(signing_keys)
@@ -198,8 +198,8 @@
 
 /// Writes metadata files in the given order, each one completely before the next. The timestamp comes last:
 /// clients see the new release once it is written.
-fn write_metadata(folder: &Path, files: &[Written]) -> Result<()> {
-    for Written { path, bytes } in files {
+fn write_metadata(folder: &Path, files: &[MetadataFile]) -> Result<()> {
+    for MetadataFile { path, bytes } in files {
         let destination = folder.join(METADATA_FOLDER).join(path);
         if path != TIMESTAMP_FILE && destination.exists() {
             bail!("{} already exists; published metadata is not overwritten", destination.display());
@@ -217,7 +217,7 @@
         fs::create_dir_all(folder.join(part))?;
     }
     fs::set_permissions(folder.join(KEYS_FOLDER), PermissionsExt::from_mode(0o700))?;
-    let role_keys: BTreeMap<&str, Vec<Secret>> =
+    let role_keys: BTreeMap<&str, Vec<SigningKey>> =
         [(ROOT, key_count), (TARGETS, key_count), (SNAPSHOT, 1), (TIMESTAMP, 1)]
             .into_iter()
             .map(|(role, count)| Ok((role, generate_keys(folder, role, count)?)))
@@ -229,8 +229,8 @@
             (role.to_string(), (keys.iter().collect(), role_threshold))
         })
         .collect();
-    let mut repository = Repository::new(&roles, Terms::default())?;
-    let root_signers: Vec<&Secret> = role_keys[ROOT].iter().collect();
+    let mut repository = Repository::new(&roles, ExpiryPeriods::default())?;
+    let root_signers: Vec<&SigningKey> = role_keys[ROOT].iter().collect();
     let root = repository.publish_root(&root_signers, now())?;
     write_metadata(folder, &[root])?;
     write_repository(folder, &repository)?;
@@ -251,7 +251,7 @@
     if name.split('/').any(is_unsafe) {
         bail!("--as: {name:?} must not contain empty parts, `.` or `..`");
     }
-    let target = describe(&bytes);
+    let target = describe_target(&bytes);
     let (parent, last) = name.rsplit_once('/').unwrap_or(("", &name));
     let target_folder = folder.join(TARGETS_FOLDER).join(parent);
     fs::create_dir_all(&target_folder)?;
@@ -290,11 +290,11 @@
     let existing_keys = read_signing_keys(folder)?;
     let new_keys = generate_keys(folder, role, key_count)?;
     let current_root = repository.root.roles[ROOT].clone();
-    repository.rotate(role, &new_keys.iter().collect::<Vec<_>>(), threshold)?;
+    repository.rotate_keys(role, &new_keys.iter().collect::<Vec<_>>(), threshold)?;
     let next_root_ids = &repository.root.roles[ROOT].keyids;
     let signs_root =
-        |key: &&Secret| current_root.keyids.contains(key.id()) || next_root_ids.contains(key.id());
-    let signers: Vec<&Secret> = existing_keys.iter().chain(&new_keys).filter(signs_root).collect();
+        |key: &&SigningKey| current_root.keyids.contains(key.id()) || next_root_ids.contains(key.id());
+    let signers: Vec<&SigningKey> = existing_keys.iter().chain(&new_keys).filter(signs_root).collect();
     let current_signers = signers.iter().filter(|key| current_root.keyids.contains(key.id())).count();
     if current_signers < current_root.threshold as usize {
         bail!(
@@ -314,19 +314,19 @@
 
 /// Passes the metadata files that the client requests from the folder, until it requests no more.
 fn supply_metadata(
-    client: &mut Client, folder: &Path, first: Result<Came, Refusal>,
-) -> Result<Came, Refusal> {
+    client: &mut Client, folder: &Path, first: Result<Progress, MetadataError>,
+) -> Result<Progress, MetadataError> {
     let mut progress = first;
     loop {
         let request = match progress? {
-            Came::More(request) => request,
+            Progress::NeedFile(request) => request,
             finished => return Ok(finished),
         };
         let mut bytes = Vec::new();
         let file = File::open(folder.join(METADATA_FOLDER).join(&request.path));
         // One byte more than allowed, so that the client notices a file that is too long.
-        let read = file.and_then(|file| file.take(request.limit + 1).read_to_end(&mut bytes));
-        progress = if read.is_ok() { client.came(&bytes) } else { client.missing() };
+        let read = file.and_then(|file| file.take(request.max_bytes + 1).read_to_end(&mut bytes));
+        progress = if read.is_ok() { client.on_file(&bytes) } else { client.on_file_missing() };
     }
 }
 
@@ -345,28 +345,29 @@
     }
 }
 
-impl From<Refusal> for VerifyError {
-    fn from(error: Refusal) -> VerifyError {
+impl From<MetadataError> for VerifyError {
+    fn from(error: MetadataError) -> VerifyError {
         let exit_code = metadata_exit_code(&error);
         VerifyError { reason: error.to_string(), kind: error.kind(), exit_code }
     }
 }
 
 /// Verifies the repository from a trusted root, and the content of the named targets.
-fn verify(folder: &Path, root: &Path, targets: &[String], at: Second) -> Result<Client, VerifyError> {
+fn verify(folder: &Path, root: &Path, targets: &[String], at: UnixSeconds) -> Result<Client, VerifyError> {
     let root_bytes = fs::read(root).map_err(|error| VerifyError::unreadable(root, &error))?;
-    let mut client = Client::new(&root_bytes, Floors::default(), Limits::default(), Planted::default())?;
+    let mut client =
+        Client::new(&root_bytes, VersionFloors::default(), Limits::default(), Planted::default())?;
     let first_request = client.refresh(at);
-    supply_metadata(&mut client, folder, Ok(Came::More(first_request)))?;
+    supply_metadata(&mut client, folder, Ok(Progress::NeedFile(first_request)))?;
     for name in targets {
-        let first = client.find(at, 0, name);
-        let Came::Found { target, .. } = supply_metadata(&mut client, folder, first)? else {
+        let first = client.find_target(at, 0, name);
+        let Progress::TargetFound { target, .. } = supply_metadata(&mut client, folder, first)? else {
             continue;
         };
         let path = folder.join(TARGETS_FOLDER).join(client.target_path(name, &target));
         let bytes = fs::read(&path).map_err(|error| VerifyError::unreadable(&path, &error))?;
-        let mut verifier = Checking::of(&target, Planted::default());
-        verifier.came(&bytes).and_then(|()| verifier.ends()).map_err(|error| VerifyError {
+        let mut verifier = TargetVerifier::new(&target, Planted::default());
+        verifier.update(&bytes).and_then(|()| verifier.finish()).map_err(|error| VerifyError {
             reason: format!("{name}: {error}"),
             kind: "target",
             exit_code: EXIT_NOT_AS_ANNOUNCED,
@@ -375,9 +376,9 @@
     Ok(client)
 }
 
-fn print_table(client: &Client, at: Second) {
+fn print_table(client: &Client, at: UnixSeconds) {
     println!("{:<10} {:>8}  {:<21} time left", "role", "version", "expires");
-    for (role, version, expires) in client.trusted() {
+    for (role, version, expires) in client.trusted_roles() {
         let seconds_left = expires.0 - at.0;
         println!(
             "{role:<10} {:>8}  {:<21} {} h {} min",
@@ -391,7 +392,7 @@
 
 fn json_report(client: &Client) -> serde_json::Value {
     let roles: Vec<_> = client
-        .trusted()
+        .trusted_roles()
         .into_iter()
         .map(|(role, version, expires)| {
             json!({"role": role, "version": version.0, "expires": expires.to_string()})
@@ -400,7 +401,7 @@
     json!({ "well": true, "roles": roles })
 }
 
-fn run_verify(folder: &Path, root: &Path, targets: &[String], json: bool, at: Second) -> ExitCode {
+fn run_verify(folder: &Path, root: &Path, targets: &[String], json: bool, at: UnixSeconds) -> ExitCode {
     match verify(folder, root, targets, at) {
         Ok(client) if json => {
             println!("{}", json_report(&client));
@@ -423,7 +424,7 @@
 
 fn run_show(folder: &Path, json: bool) -> ExitCode {
     // Verified as of 1970, so that expired metadata is shown too.
-    match verify(folder, &folder.join(FIRST_ROOT), &[], Second(0)) {
+    match verify(folder, &folder.join(FIRST_ROOT), &[], UnixSeconds(0)) {
         Ok(client) => {
             if json {
                 println!("{}", json_report(&client));
@@ -448,7 +449,7 @@
         Command::Publish { folder } => publish(&folder),
         Command::Rotate { folder, role, keys, threshold } => rotate(&folder, &role, keys, threshold),
         Command::Verify { folder, root, target, json, at } => {
-            let at = at.map_or_else(now, |at| Second(at.as_second()));
+            let at = at.map_or_else(now, |at| UnixSeconds(at.as_second()));
             let root = root.unwrap_or_else(|| folder.join(FIRST_ROOT));
             return run_verify(&folder, &root, &target, json, at);
         }
