--- a/crates/stagepond-sidecar/src/state_files.rs
+++ b/crates/stagepond-sidecar/src/state_files.rs
@@ -10,7 +10,7 @@
 use anyhow::{bail, Context, Result};
 use stagepond_leadership::ids::Seat;
 use stagepond_leadership::raft::PersistentState;
-use stagepond_tuf::client::Kept;
+use stagepond_tuf::client::TrustedState;
 use tokio::sync::mpsc;
 
 use crate::messages::Input;
@@ -65,7 +65,7 @@
 ///
 /// An unreadable or damaged file is an error that names `tuf.state`: starting without the file would let a
 /// rollback pass.
-pub fn read_trusted_metadata(path: &Path) -> Result<Option<Kept>> {
+pub fn read_trusted_metadata(path: &Path) -> Result<Option<TrustedState>> {
     let field = || format!("tuf.state: {}", path.display());
     let Some(body) = read_file(path, TRUSTED_METADATA_MAGIC, field)? else { return Ok(None) };
     Ok(Some(serde_json::from_slice(&body).with_context(field)?))
@@ -73,7 +73,7 @@
 
 /// Writes each trusted metadata state that it receives, outside the event loop. A failed write is logged and
 /// the next state is tried.
-pub async fn write_trusted_metadata(path: PathBuf, mut states: mpsc::UnboundedReceiver<Kept>) {
+pub async fn write_trusted_metadata(path: PathBuf, mut states: mpsc::UnboundedReceiver<TrustedState>) {
     while let Some(state) = states.recv().await {
         let Ok(bytes) = serde_json::to_vec(&state) else { return };
         let target = path.clone();
