--- a/crates/stagepond-lab/src/leadership/measure.rs
+++ b/crates/stagepond-lab/src/leadership/measure.rs
@@ -8,7 +8,7 @@
 use stagepond_leadership::settings::Settings;
 
 use super::world::{Plan, World};
-use crate::draw::{Fault, Scripted};
+use crate::faults::{Fault, ScheduledFault};
 
 #[derive(Clone, Copy, Debug)]
 pub enum Trouble {
@@ -64,7 +64,7 @@
             Trouble::Cut => Fault::Zone { seats: vec![leader], lasts },
             Trouble::HandOver => Fault::Transfer { to: Seat(u16::from(leader == Seat(0))) },
         };
-        world.strike(Scripted { at, fault });
+        world.strike(ScheduledFault { at, fault });
         // From the last moment of one mandate to the first of the next, a tenth of a ms at a time is too fine.
         let (mut gone, mut now) = (None, at);
         while now < at + Tenths::ms(15_000) {
@@ -116,11 +116,11 @@
     // Until all know of all.
     let (warm, at, ends) = (Tenths::ms(60_000), Tenths::ms(80_000), Tenths::ms(140_000));
     world.run_until(warm);
-    world.net().loss = loss;
-    let (bytes, crashed) = (world.net().bytes, Seat(members - 1));
+    world.net().loss_rate = loss;
+    let (bytes, crashed) = (world.net().bytes_sent, Seat(members - 1));
     world.run_until(at);
-    let bytes = world.net().bytes - bytes;
-    world.strike(Scripted {
+    let bytes = world.net().bytes_sent - bytes;
+    world.strike(ScheduledFault {
         at,
         fault: Fault::Crash { seat: crashed, down: Tenths::ms(600_000), keeps_memory: false },
     });
--- a/crates/stagepond-lab/src/leadership/proof.rs
+++ b/crates/stagepond-lab/src/leadership/proof.rs
@@ -9,7 +9,7 @@
 use stagepond_leadership::settings::Settings;
 
 use super::world::{Outcome, Plan, World};
-use crate::draw::{self, Fault, Scripted};
+use crate::faults::{self, Fault, ScheduledFault};
 
 /// The bounds that seeds run under: short enough for much to happen, clocks far apart.
 pub fn bounds(seats: u16, durable: bool) -> Settings {
@@ -35,7 +35,7 @@
     let mut bounds = bounds(seats, rng.bool());
     bounds.pool = (0..seats).map(Seat).collect();
     let (busy_until, ends) = (Tenths::ms(20_000), Tenths::ms(42_000));
-    let script = draw::draw(&mut rng, seats, Tenths::ms(2000), busy_until);
+    let script = faults::random_schedule(&mut rng, seats, Tenths::ms(2000), busy_until);
     Plan { seed, script, busy_until, ends, planted, ..Plan::quiet(seed, bounds) }
 }
 
@@ -67,7 +67,7 @@
             Plant::NoJointQuorum => Fault::Zone { seats: vec![seat()], lasts: Tenths::ms(6000) },
             _ => Fault::Mute { seat: seat(), lasts: long },
         };
-        plan.script.push(Scripted { at: at(), fault });
+        plan.script.push(ScheduledFault { at: at(), fault });
     }
     plan.script.sort_by_key(|s| s.at);
     plan
--- a/crates/stagepond-lab/src/lib.rs
+++ b/crates/stagepond-lab/src/lib.rs
@@ -1,8 +1,8 @@
-//! The laboratory: instruments, never a part of what serves. Worlds run on a virtual clock and draw all chance
-//! from their seed, so that equal seeds give equal traces on any machine.
+//! Test laboratory of the project, not part of the service: simulations, proofs and measurements. Simulations run
+//! on a virtual clock and take all randomness from a seed, so that equal seeds give equal traces on any machine.
 
 pub mod clock;
-pub mod draw;
+pub mod faults;
 pub mod leadership;
 pub mod net;
 pub mod trace;
