--- a/crates/stagepond-lab/src/clock.rs
+++ b/crates/stagepond-lab/src/clock.rs
@@ -103,7 +103,8 @@
         self.reading + Tenths(((now - self.set_at).0 as f64 * self.rate).floor() as i64)
     }
 
-    /// Returns the first true time at which the clock shows `reading`, rounded up so that it is never too early.
+    /// Returns the first true time at which the clock shows `reading`, rounded up so that it is never too
+    /// early.
     pub fn first_time_showing(&self, reading: Tenths) -> Tenths {
         let ahead = ((reading - self.reading).0 as f64 / self.rate).ceil();
         self.set_at + Tenths(ahead.clamp(-1e15, 1e15) as i64 + 1)
--- a/crates/stagepond-lab/src/faults.rs
+++ b/crates/stagepond-lab/src/faults.rs
@@ -38,8 +38,8 @@
     Double { share: f64, lasts: Tenths },
     /// Asks the leader to transfer leadership to a seat.
     Transfer { to: Seat },
-    /// Rotates the key that seals datagrams: all instances accept the new key at once, some seal with it at once
-    /// and the others after `lasts`.
+    /// Rotates the key that seals datagrams: all instances accept the new key at once, some seal with it at
+    /// once and the others after `lasts`.
     NewKey { lasts: Tenths },
 }
 
@@ -50,8 +50,8 @@
     pub fault: Fault,
 }
 
-/// Draws a schedule of one to four kinds of fault, each one to three times, beginning between `from` and `until`
-/// and sorted by time.
+/// Draws a schedule of one to four kinds of fault, each one to three times, beginning between `from` and
+/// `until` and sorted by time.
 pub fn random_schedule(
     rng: &mut fastrand::Rng, seats: u16, from: Tenths, until: Tenths,
 ) -> Vec<ScheduledFault> {
--- a/crates/stagepond-lab/src/net.rs
+++ b/crates/stagepond-lab/src/net.rs
@@ -1,5 +1,6 @@
-//! A simulated datagram network with delay, packet loss, duplication, and links cut in one or both directions.
-//! All chance comes from the random generator that the caller passes in; the contents of datagrams are not read.
+//! A simulated datagram network with delay, packet loss, duplication, and links cut in one or both
+//! directions. All chance comes from the random generator that the caller passes in; the contents of
+//! datagrams are not read.
 
 use std::collections::BTreeSet;
 
@@ -64,8 +65,8 @@
         !self.cut.contains(&(from, to))
     }
 
-    /// Sends a datagram of `len` bytes and returns the delay of each copy that arrives; an empty list means that
-    /// it is lost.
+    /// Sends a datagram of `len` bytes and returns the delay of each copy that arrives; an empty list means
+    /// that it is lost.
     pub fn transmit(&mut self, rng: &mut fastrand::Rng, from: Seat, to: Seat, len: usize) -> Vec<Tenths> {
         self.datagrams_sent += 1;
         self.bytes_sent += len as u64;
@@ -76,7 +77,8 @@
             if rng.f64() < self.late_rate {
                 delay += rng.i64(0..=self.max_extra_delay.0);
             }
-            // The loss is drawn on cut links too, so that a cut does not change the draws for later datagrams.
+            // The loss is drawn on cut links too, so that a cut does not change the draws for later
+            // datagrams.
             if rng.f64() >= self.loss_rate && self.is_connected(from, to) {
                 delays.push(Tenths(delay));
             }
@@ -85,7 +87,8 @@
     }
 }
 
-/// Returns the links, in both directions, between each seat of `side` and each of the other seats below `seats`.
+/// Returns the links, in both directions, between each seat of `side` and each of the other seats below
+/// `seats`.
 pub fn links_between(side: &BTreeSet<Seat>, seats: u16) -> Vec<(Seat, Seat)> {
     let others: Vec<Seat> = (0..seats).map(Seat).filter(|s| !side.contains(s)).collect();
     side.iter().flat_map(|a| others.iter().flat_map(move |b| [(*a, *b), (*b, *a)])).collect()
--- a/crates/stagepond-lab/src/tuf/mod.rs
+++ b/crates/stagepond-lab/src/tuf/mod.rs
@@ -1,4 +1,5 @@
-//! TUF's stand-in repository, its attacks and its proof.
+//! Proof and measurements of the TUF client: a test repository, attacks on it, and runs in memory and on
+//! sockets.
 
 pub mod attacks;
 pub mod measure;
