--- a/crates/stagepond-lab/src/tuf/sockets.rs
+++ b/crates/stagepond-lab/src/tuf/sockets.rs
@@ -303,8 +303,8 @@
 /// Runs every attack that a client asking for the pack can meet, each against a sidecar process of its own.
 ///
 /// # Errors
-/// Fails if the honest repository or the control can't be run; a single attack that can't be run is reported as
-/// a failure of that attack.
+/// Fails if the honest repository or the control can't be run; an attack that can't be run is reported as a
+/// failure of that attack.
 pub fn prove(program: &Path, seed: u64) -> Result<SocketReport> {
     let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
     let report = runtime.block_on(run_all(program, seed));
