--- a/crates/stagepond-lab/src/faults.rs
+++ b/crates/stagepond-lab/src/faults.rs
@@ -3,8 +3,9 @@
 
 use stagepond_leadership::ids::{Seat, Tenths};
 
-/// A fault to inject into a simulation. `replay-leadership` prints faults with `{:?}`, so the names of the
-/// variants and fields are part of its output.
+/// A fault to inject into a simulation. `lasts` is how long it lasts, `down` the time until a crashed instance
+/// starts again, and `share` a part of all datagrams from 0 to 1. `replay-leadership` prints faults with `{:?}`,
+/// so the names of the variants and fields are part of its output.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Ends an instance and starts it again after `down`.
@@ -43,7 +44,7 @@
     NewKey { lasts: Tenths },
 }
 
-/// A fault and the true time at which it begins.
+/// A fault and the true time, not that of any local clock, at which it begins.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
     pub at: Tenths,
--- a/crates/stagepond-lab/src/tuf/attacks.rs
+++ b/crates/stagepond-lab/src/tuf/attacks.rs
@@ -190,7 +190,7 @@
     RootStranger,
     /// The second root has one signature of the old and one of the new keys; both thresholds are two.
     RootThresholdShort,
-    /// The second root states version 3.
+    /// The second root states version 3, which skips a version.
     RootSkips,
     /// The first root is served as the second.
     RootAgain,
