--- a/crates/stagepond-lab/src/leadership/measure.rs
+++ b/crates/stagepond-lab/src/leadership/measure.rs
@@ -8,7 +8,7 @@
 use stagepond_leadership::settings::Settings;
 
 use super::simulation::{Simulation, SimulationConfig};
-use crate::draw::{Fault, Scripted};
+use crate::faults::{Fault, ScheduledFault};
 
 /// Separates the random times of the disruptions from the simulation's own random numbers.
 const TIME_SEED_MASK: u64 = 0x6a9;
@@ -76,7 +76,7 @@
             Disruption::Cut => Fault::Zone { seats: vec![leader], lasts },
             Disruption::HandOver => Fault::Transfer { to: Seat(u16::from(leader == Seat(0))) },
         };
-        simulation.inject_fault(Scripted { at, fault });
+        simulation.inject_fault(ScheduledFault { at, fault });
         // Looks every 1 ms for the end of the old lease and the start of the next one: every 0.1 ms would be
         // finer than needed.
         let (mut leaderless_since, mut now) = (None, at);
@@ -139,11 +139,11 @@
     let converged = Tenths::ms(60_000);
     let (crash_time, end) = (Tenths::ms(80_000), Tenths::ms(140_000));
     simulation.run_until(converged);
-    simulation.net().loss = loss;
-    let (bytes_before, crashed) = (simulation.net().bytes, Seat(members - 1));
+    simulation.net().loss_rate = loss;
+    let (bytes_before, crashed) = (simulation.net().bytes_sent, Seat(members - 1));
     simulation.run_until(crash_time);
-    let bytes = simulation.net().bytes - bytes_before;
-    simulation.inject_fault(Scripted {
+    let bytes = simulation.net().bytes_sent - bytes_before;
+    simulation.inject_fault(ScheduledFault {
         at: crash_time,
         fault: Fault::Crash { seat: crashed, down: Tenths::ms(600_000), keeps_memory: false },
     });
--- a/crates/stagepond-lab/src/leadership/proof.rs
+++ b/crates/stagepond-lab/src/leadership/proof.rs
@@ -9,7 +9,7 @@
 use stagepond_leadership::settings::Settings;
 
 use super::simulation::{Outcome, Simulation, SimulationConfig};
-use crate::draw::{self, Fault, Scripted};
+use crate::faults::{self, Fault, ScheduledFault};
 
 /// Separates the random times of the added faults from the simulation's own random numbers.
 const TIME_SEED_MASK: u64 = 0xf00d;
@@ -42,7 +42,7 @@
     let mut settings = settings(seats, rng.bool());
     settings.pool = (0..seats).map(Seat).collect();
     let (faults_until, end) = (Tenths::ms(20_000), Tenths::ms(42_000));
-    let fault_schedule = draw::draw(&mut rng, seats, Tenths::ms(2000), faults_until);
+    let fault_schedule = faults::random_schedule(&mut rng, seats, Tenths::ms(2000), faults_until);
     let quiet = SimulationConfig::without_faults(seed, settings);
     SimulationConfig { seed, fault_schedule, faults_until, end, planted, ..quiet }
 }
@@ -77,7 +77,7 @@
             PlantedFault::NoJointQuorum => Fault::Zone { seats: vec![seat()], lasts: Tenths::ms(6000) },
             _ => Fault::Mute { seat: seat(), lasts: duration },
         };
-        config.fault_schedule.push(Scripted { at: start_time(), fault });
+        config.fault_schedule.push(ScheduledFault { at: start_time(), fault });
     }
     config.fault_schedule.sort_by_key(|scheduled| scheduled.at);
     config
