--- a/crates/stagepond-lab/src/leadership/invariants.rs
+++ b/crates/stagepond-lab/src/leadership/invariants.rs
@@ -65,7 +65,7 @@
 }
 
 impl InvariantChecker {
-    /// Takes the seat and term of every instance whose lease is valid at this moment. Called after each
+    /// Records the seat and term of every instance whose lease is valid at this moment. Called after each
     /// event.
     pub fn observe_lease_holders(&mut self, at: Tenths, holders: &[(Seat, u64)]) {
         if let [one, other, ..] = holders {
@@ -93,7 +93,7 @@
         self.lease_holder = holder;
     }
 
-    /// Takes an action under a lease. `allowed` tells whether the lease passed the check just before it.
+    /// Records an action under a lease. `allowed` is whether the lease passed the check just before it.
     pub fn on_action(&mut self, at: Tenths, seat: Seat, term: u64, allowed: bool) {
         if !allowed {
             self.refused_actions += 1;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Takes an entry that a seat sees committed, as its number and a digest of its content.
+    /// Records an entry that a seat sees committed, as its number and a digest of its content.
     pub fn on_committed(&mut self, at: Tenths, seat: Seat, number: u64, digest: u64) {
         let known = *self.committed.entry(number).or_insert(digest);
         if known != digest {
@@ -118,15 +118,15 @@
         self.highest_committed = self.highest_committed.max(number);
     }
 
-    /// Takes a new leader and the number up to which it has committed.
+    /// Records a new leader and the number up to which it has committed.
     pub fn on_leader_elected(&mut self, at: Tenths, seat: Seat, committed: u64) {
         if let Some((number, _)) = self.committed.last_key_value().filter(|(n, _)| **n > committed) {
             self.violations.push(Violation::LostDecree { at, seat, number: *number, has: committed });
         }
     }
 
-    /// Takes a bootstrap, which starts a new era, and the highest entry number that a running instance of the
-    /// pool holds. Later entries are lost with the memory that held them, which is no violation: no instance
+    /// Records a bootstrap, which starts a new era, and the highest entry number that a running instance of
+    /// the pool holds. Later entries are lost with the memory that held them, which is no violation: no instance
     /// could have kept them.
     pub fn on_bootstrap(&mut self, highest_held: u64) {
         let lost = self.committed.split_off(&(highest_held + 1));
--- a/crates/stagepond-leadership/src/ids.rs
+++ b/crates/stagepond-leadership/src/ids.rs
@@ -8,6 +8,8 @@
 pub struct Seat(pub u16);
 
 /// Identifies one process at a seat. A later process at the same seat has a higher value; 0 means unknown.
+///
+/// The service takes the time of day at the start of the process, in tenths of a ms.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Life(pub u64);
 
@@ -32,8 +34,8 @@
 
 /// Identifies the bootstrap that a term follows. Later bootstraps have higher eras.
 ///
-/// An era is never below the life, in ms, of the process that starts the bootstrap, which is taken from the
-/// time of day. Eras therefore rise even if every instance lost its state.
+/// An era is never below the life, converted to ms, of the process that starts the bootstrap. Eras therefore
+/// rise with the time of day even if every instance lost its state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Era(pub u64);
 
--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -50,12 +50,12 @@
     BecameLeader(LeaderLease),
     /// This instance no longer leads.
     SteppedDown { term: Term, reason: &'static str },
-    /// An entry was committed. Reported in log order, once for each entry and process. Only the leader gets a
-    /// lease to act on it.
+    /// An entry was committed. Reported in log order, once for each entry and process, and once more when a
+    /// leader proposes the same command again. Only the leader gets a lease to act on it.
     Committed { entry: Entry, lease: Option<LeaderLease> },
     /// A snapshot was installed: the host must read the committed state again.
     SnapshotInstalled { number: Number },
-    /// An era began: the whole pool agreed on a new configuration.
+    /// This instance accepted the configuration of a new era. The era begins once the whole pool has.
     Bootstrapped { era: Era },
     /// A command or a leadership transfer was not accepted.
     Rejected { command: Command, reason: CommandError },
@@ -63,7 +63,8 @@
     MemberChanged { seat: Seat, health: Health },
 }
 
-/// Prints the names that `replay-leadership` shows; they are part of its output and stay as they are.
+/// Prints the names that the output of `stagepond-lab replay-leadership` has, which differ from those in the
+/// code.
 impl fmt::Debug for Effect {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -126,7 +127,7 @@
     members: Members,
     raft: RaftNode,
     /// The host's clock at the last input.
-    last_seen: Tenths,
+    last_input_at: Tenths,
     /// Added to the host's clock so that the time inside the instance never goes back.
     clock_offset: Tenths,
     planted: Planted,
@@ -175,7 +176,7 @@
             members: Members::new(now, seat, life, persistent.memory, &settings, seed),
             raft: RaftNode::new(now, life, persistent, &settings, seed, planted),
             settings,
-            last_seen: now,
+            last_input_at: now,
             clock_offset: Tenths(0),
             planted,
             next_welcome_at: BTreeMap::new(),
@@ -193,7 +194,7 @@
 
     /// The lease at `now`, on the host's clock; `None` if this instance may not act.
     pub fn lease(&self, now: Tenths) -> Option<LeaderLease> {
-        if now < self.last_seen {
+        if now < self.last_input_at {
             return None;
         }
         let lease = self.raft.lease(now + self.clock_offset)?;
@@ -223,7 +224,7 @@
     pub fn next_due(&self) -> Tenths {
         let due = self.members.next_due().min(self.raft.next_due()) - self.clock_offset;
         // A longer silence would be taken for a pause of this process.
-        due.min(self.last_seen + Tenths(self.settings.max_input_gap().0 / 2))
+        due.min(self.last_input_at + Tenths(self.settings.max_input_gap().0 / 2))
     }
 
     /// Processes one input at `now`, on the host's clock.
@@ -271,7 +272,7 @@
         }
         for (to, message) in outbox {
             if usize::from(to.0) < usize::from(self.settings.seats) && to != self.raft.id().seat {
-                effects.push(self.sealed(to, &message));
+                effects.push(self.send_effect(to, &message));
             }
         }
         let events: Vec<Event> = self.raft.events.drain(..).collect();
@@ -284,11 +285,12 @@
         effects
     }
 
-    fn sealed(&mut self, to: Seat, message: &Message) -> Effect {
+    /// The effect that sends a message, or a `Hello` in its place while the recipient's life is unknown.
+    fn send_effect(&mut self, to: Seat, message: &Message) -> Effect {
         // While the life of the recipient is unknown, only `Hello` and `Welcome` may be sent to it.
-        let unknown = self.sealer.peer_life(to) == Life(0);
-        let hello = unknown && !matches!(message, Message::Welcome { .. });
-        let body = if hello { Message::Hello.encode() } else { message.encode() };
+        let life_unknown = self.sealer.peer_life(to) == Life(0);
+        let sends_hello = life_unknown && !matches!(message, Message::Welcome { .. });
+        let body = if sends_hello { Message::Hello.encode() } else { message.encode() };
         Effect::Send { to, bytes: self.sealer.seal(to, &body) }
     }
 
@@ -315,18 +317,18 @@
     /// If the clock was stepped back, or no input came for longer than [`Settings::max_input_gap`], the time
     /// that really passed is unknown, and all timers that depend on it start again.
     fn advance_clock(&mut self, now: Tenths) -> Tenths {
-        let went_back = now < self.last_seen;
-        let gap = now > self.last_seen + self.settings.max_input_gap();
+        let went_back = now < self.last_input_at;
+        let gap = now > self.last_input_at + self.settings.max_input_gap();
         if went_back {
-            self.clock_offset = self.clock_offset + (self.last_seen - now);
+            self.clock_offset = self.clock_offset + (self.last_input_at - now);
         }
-        self.last_seen = now;
-        let inside = now + self.clock_offset;
+        self.last_input_at = now;
+        let instance_time = now + self.clock_offset;
         if went_back || gap {
-            self.raft.on_clock_anomaly(inside, went_back);
-            self.members.on_clock_anomaly(inside);
+            self.raft.on_clock_anomaly(instance_time, went_back);
+            self.members.on_clock_anomaly(instance_time);
         }
-        inside
+        instance_time
     }
 
     fn on_datagram(&mut self, now: Tenths, bytes: &[u8], outbox: &mut Vec<(Seat, Message)>) {
--- a/crates/stagepond-leadership/src/lease.rs
+++ b/crates/stagepond-leadership/src/lease.rs
@@ -18,7 +18,8 @@
     planted: Planted,
 }
 
-/// Prints the names that `replay-leadership` shows; they are part of its output and stay as they are.
+/// Prints the names that the output of `stagepond-lab replay-leadership` has, which differ from those in the
+/// code.
 impl fmt::Debug for LeaderLease {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Mandate")
--- a/crates/stagepond-leadership/src/lib.rs
+++ b/crates/stagepond-leadership/src/lib.rs
@@ -7,15 +7,15 @@
 //! The modules, from the lowest layer up:
 //!
 //! - [`ids`] - identifiers
+//! - [`planted`] - faults that tests switch on to check that the proof finds them
 //! - [`settings`] - validated settings
 //! - [`log`] - the replicated log and its snapshot
 //! - [`wire`] - messages between instances
 //! - [`seal`] - authentication of datagrams
 //! - [`members`] - failure detection (SWIM)
-//! - [`raft`] - elections, leases and replication
 //! - [`lease`] - the leader's time-limited permission to act
+//! - [`raft`] - elections, leases and replication
 //! - [`instance`] - all of the above behind one step function
-//! - [`planted`] - faults that tests switch on to check that the proof finds them
 
 pub mod ids;
 pub mod instance;
--- a/crates/stagepond-leadership/src/log.rs
+++ b/crates/stagepond-leadership/src/log.rs
@@ -122,10 +122,12 @@
     pub number: Number,
     /// The leader that appended the entry.
     pub leader: Seat,
+    /// The command to apply once the entry is committed.
     pub command: Command,
 }
 
-/// Prints the names that `replay-leadership` shows; they are part of its output and stay as they are.
+/// Prints the names that the output of `stagepond-lab replay-leadership` has, which differ from those in the
+/// code.
 impl fmt::Debug for Entry {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Entry")
@@ -152,8 +154,8 @@
 
 /// Subjects that a snapshot keeps. Beyond this number the one with the oldest entry is removed.
 pub const MAX_SUBJECTS: usize = 48;
-/// Committed entries kept besides the snapshot, so that a follower that lacks a few of them does not need the
-/// whole snapshot.
+/// Entries kept besides the snapshot, so that a follower that lacks a few of them does not need the whole
+/// snapshot. Beyond this number the oldest committed ones are compacted.
 pub const MAX_COMMITTED_ENTRIES: usize = 32;
 /// Entries that wait for a quorum. Beyond this number the leader rejects commands.
 pub const MAX_UNCOMMITTED_ENTRIES: usize = 64;
@@ -281,7 +283,7 @@
     }
 
     /// Commits all entries up to a position and returns the newly committed ones in order. Compacts the
-    /// oldest committed entries beyond [`MAX_COMMITTED_ENTRIES`].
+    /// oldest committed entries while more than [`MAX_COMMITTED_ENTRIES`] entries are kept.
     pub fn commit_up_to(&mut self, number: Number) -> Vec<Entry> {
         let from = self.committed.number;
         let new: Vec<Entry> =
--- a/crates/stagepond-leadership/src/members.rs
+++ b/crates/stagepond-leadership/src/members.rs
@@ -2,7 +2,8 @@
 //!
 //! This is SWIM (Das, Gupta and Motivala 2002) with three refinements of Lifeguard (Dadgar, Phillips and
 //! Currey 2017): a suspicion times out sooner when other members confirm it, probes wait longer while this
-//! instance itself seems slow, and a suspected member is told so first. The load of each member does not
+//! instance itself seems slow, and a suspected member is
+//! informed of the suspicion first. The load of each member does not
 //! depend on how many there are.
 //!
 //! The module only reports what is known of each seat. Voters and leaders are chosen in [`crate::raft`].
@@ -13,7 +14,7 @@
 use crate::settings::Settings;
 use crate::wire::{Gossip, Health, MemberState, Message, MAX_GOSSIP_MEMBERS};
 
-/// Members that are asked for an indirect probe, and that are told at once when this instance leaves.
+/// Members that are asked for an indirect probe, and that are pinged at once when this instance leaves.
 const INDIRECT_PROBES: usize = 3;
 /// Attempts to draw a seat that is alive.
 const RANDOM_SEAT_ATTEMPTS: usize = 8;
@@ -27,7 +28,7 @@
 const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0;
 /// Highest value of the local slowness; see [`Members`].
 const MAX_SLOWNESS: u32 = 7;
-/// Every so many probes may go to a seat that is dead or has left, so that members find each other again
+/// One probe in this many may go to a seat that is dead or has left, so that members find each other again
 /// after a network partition.
 const DEAD_PROBE_PERIOD: u32 = 6;
 /// Indirect probes that this instance makes for others at one time.
@@ -262,7 +263,7 @@
         let share = (confirmations as f64 + 1.0).ln() / (CONFIRMATIONS_FOR_MIN_TIMEOUT as f64 + 1.0).ln();
         let timeout =
             MAX_SUSPICION_FACTOR * shortest - (MAX_SUSPICION_FACTOR - 1.0) * shortest * share.min(1.0);
-        // With so few members there is nobody left to send the confirmations.
+        // With so few members there are not enough others to confirm a suspicion.
         let too_few_to_confirm = usize::from(self.settings.seats) < CONFIRMATIONS_FOR_MIN_TIMEOUT + 2;
         Tenths(if too_few_to_confirm { shortest } else { timeout } as i64)
     }
@@ -376,7 +377,7 @@
     fn start_probe(&mut self, now: Tenths, committed: (Term, Number), outbox: &mut Vec<(Seat, Message)>) {
         self.probe_count += 1;
         let may_probe_dead = self.probe_count.is_multiple_of(DEAD_PROBE_PERIOD);
-        // With nobody else alive, the dead are probed with every probe.
+        // While no other member is alive, every probe may go to a dead one.
         let alone = self.count(Health::Alive) <= 1;
         for _ in 0..=usize::from(self.settings.seats) {
             if self.round.is_empty() {
@@ -415,7 +416,7 @@
         outbox.push((from, Message::Ack { nonce, gossip }));
     }
 
-    /// Probes `target` for the member at `from`. Ignored if it already makes many such probes.
+    /// Probes `target` for the member at `from`. Ignored while this instance makes `MAX_RELAYS` such probes.
     pub fn on_ping_req(
         &mut self, now: Tenths, from: Seat, origin_nonce: u32, target: Seat, committed: (Term, Number),
         outbox: &mut Vec<(Seat, Message)>,
@@ -508,7 +509,7 @@
         }
     }
 
-    /// Whether `new` tells more than `old`: by life, then incarnation, then health, or because it adds the
+    /// Whether `new` replaces `old`: by life, then incarnation, then health, or because it adds the
     /// memory.
     fn supersedes(new: &MemberState, old: &MemberState) -> bool {
         (new.life, new.incarnation, new.health) > (old.life, old.incarnation, old.health)
--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -6,8 +6,8 @@
 //! left that still has its persistent state.
 //!
 //! [`RaftNode`] owns the persistent state: term, vote and log. It must never send a message that depends on
-//! state which is not persisted yet, act as leader after its lease, or vote with a memory that it does not
-//! have.
+//! state which is not persisted yet, act as leader after its lease has expired, or vote as a [`Voter`] whose
+//! persistent state it does not have.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -103,7 +103,8 @@
 #[derive(Clone, Copy, Debug, Hash)]
 struct LeadershipTransfer {
     to: Seat,
-    /// When the successor may be told; 0 while the leader waits for the successor to catch up.
+    /// The earliest time to send `TimeoutNow` to the successor; 0 while the leader waits for the successor to
+    /// catch up.
     not_before: Tenths,
     /// When the transfer is abandoned and the leader steps down.
     deadline: Tenths,
@@ -214,7 +215,8 @@
     UnknownSuccessor,
 }
 
-/// Prints the names that `replay-leadership` shows; they are part of its output and stay as they are.
+/// Prints the names that the output of `stagepond-lab replay-leadership` has, which differ from those in the
+/// code.
 impl fmt::Debug for CommandError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -249,13 +251,14 @@
     pending_messages: VecDeque<(u64, Seat, Message)>,
     role: Role,
     leader: Option<Seat>,
-    /// Until then this instance votes for nobody else, since the leader it heard from may hold a lease.
+    /// Until then this instance votes for no other candidate, since the leader that it heard from may hold a
+    /// lease.
     hold_until: Tenths,
     /// When this instance starts an election unless it hears from a leader.
     election_at: Tenths,
     leaderless_since: Tenths,
     bootstrap: Option<Bootstrap>,
-    /// Withdrawn by taking any part in an earlier era.
+    /// Cleared when this instance takes part in an earlier era.
     bootstrap_promise: Option<BootstrapPromise>,
     /// The highest era seen in any message.
     highest_era: Era,
@@ -376,8 +379,8 @@
         let Role::Leader(leader) = &self.role else { return None };
         let transferring = leader.transfer.is_some() && !self.planted.has(Fault::TransferKeepsMandate);
         let opened = self.persistent.log.commit_number() >= leader.opening_number;
-        // Shorter than the whole lease, so that a leadership transfer need not wait for the whole lease to
-        // expire.
+        // Granted for at most `max_grant_time` at once, so that a leadership transfer need not wait for the
+        // whole lease to expire.
         let lease = LeaderLease::new(
             self.persistent.term,
             self.id.seat,
@@ -671,8 +674,10 @@
         let candidate = Voter { seat: from, memory };
         let up_to_date = last >= self.persistent.log.last() || self.planted.has(Fault::StaleCandidate);
         let free = now >= self.hold_until && !self.is_leader() || self.planted.has(Fault::HoldIgnored);
-        let known = self.voters().contains(&candidate) || last.0 > self.persistent.log.voters().1;
-        let granted = term > self.persistent.term && up_to_date && free && known && self.can_vote();
+        // A candidate whose last entry has a later term than the configuration here may be a voter of a newer
+        // configuration.
+        let may_be_voter = self.voters().contains(&candidate) || last.0 > self.persistent.log.voters().1;
+        let granted = term > self.persistent.term && up_to_date && free && may_be_voter && self.can_vote();
         let (own_term, memory) = (self.persistent.term, self.id.memory);
         self.send(from, Message::PreVoteAnswer { term, memory, granted, own_term });
     }
@@ -899,7 +904,7 @@
     /// it, and all entries before it with it (paper, section 5.4.2).
     fn advance_commit(&mut self, now: Tenths) {
         let (voters, own_id, persisted_last) = (self.voters(), self.id, self.persisted_last);
-        let alone = self.planted.has(Fault::CommitAlone);
+        let ignores_quorum = self.planted.has(Fault::CommitAlone);
         let Role::Leader(leader) = &self.role else { return };
         let stored_up_to = |v: &Voter| {
             if *v == own_id {
@@ -912,7 +917,7 @@
         let committed = log
             .entries_after(log.commit_number())
             .filter(|e| e.term == self.persistent.term)
-            .filter(|e| alone || voters.has_quorum(|v| stored_up_to(v) >= e.number))
+            .filter(|e| ignores_quorum || voters.has_quorum(|v| stored_up_to(v) >= e.number))
             .map(|e| e.number)
             .last();
         if let Some(number) = committed {
@@ -1034,9 +1039,8 @@
         }
         let last = self.persistent.log.last().1;
         let preferred = |(v, p): (&Voter, &Progress)| {
-            let steady =
-                now >= p.responsive_since + self.settings.min_transfer_interval && p.match_number == last;
-            (v.seat < self.id.seat && steady).then_some(v.seat)
+            let responsive = now >= p.responsive_since + self.settings.min_transfer_interval;
+            (v.seat < self.id.seat && responsive && p.match_number == last).then_some(v.seat)
         };
         let successor = leader.followers.iter().find_map(preferred);
         if let Some(seat) = successor.filter(|seat| members.is_alive(*seat)) {
@@ -1078,8 +1082,8 @@
 
     /// Starts a leadership transfer to the voter at a seat.
     ///
-    /// The leader gives up its lease at once. The successor is told to start an election when no lease
-    /// granted before can still be valid and its log is complete.
+    /// The leader gives up its lease at once. It asks the successor to start an election when no lease
+    /// granted before can still be valid and the successor's log is complete.
     pub fn transfer_leadership(&mut self, now: Tenths, to: Seat) -> Result<(), CommandError> {
         let not_before = now + self.settings.max_grant_time;
         let deadline = not_before + self.settings.heartbeat_interval() + self.settings.heartbeat_interval();
@@ -1250,8 +1254,8 @@
 
     /// Starts a bootstrap if one is needed, and drives one that this instance has started.
     ///
-    /// When no quorum of voters has its persistent state, nobody can know what was voted or committed unless
-    /// every instance of the pool is asked. Each of them promises to take part in no earlier era. Once all
+    /// When no quorum of voters has its persistent state, what was voted or committed can be known only by
+    /// asking every instance of the pool. Each of them promises to take part in no earlier era. Once all
     /// have promised, the one with the longest log becomes the leader of a new era, which begins when all
     /// have acknowledged it. An instance that takes part in an earlier era withdraws its promise, so if a
     /// quorum is alive after all the bootstrap only fails.
@@ -1291,8 +1295,8 @@
         let quorum_lost = self.is_bootstrap_pending() || stuck || !self.quorum_seems_alive(members);
         let is_lowest = pool.iter().find(|seat| members.is_alive(**seat)) == Some(&self.id.seat);
         if is_lowest && (first_start || leaderless && quorum_lost) {
-            // The index in the pool makes the era unique to this seat. No era is from before this process, so
-            // eras rise even if nobody remembers the last one.
+            // The index in the pool makes the era unique to this seat. The era is not below the start time of
+            // this process in ms, so eras rise even if no instance has the last one in its persistent state.
             let started = Era(self.life.0 / 10);
             let past = started.max(self.highest_era).max(self.persistent.term.era()).0;
             let era = Era((past / ERA_STRIDE + 1) * ERA_STRIDE + index as u64);
@@ -1331,9 +1335,9 @@
         self.propose_bootstrap(now);
     }
 
-    /// Another instance starts an era: promises to take part in no earlier one, unless there is a leader.
+    /// Answers a request to promise that this instance takes part in no era before `era`. Refuses if it has a
+    /// leader, has promised a later era, has a term of this era or a later one, or is not in the pool.
     fn on_bootstrap_request(&mut self, now: Tenths, from: Seat, era: Era, initiator: Life) {
-        // An instance that leads, or that has a leader, promises nothing.
         let has_leader = self.is_leader() || (self.leader.is_some() && now < self.hold_until);
         let promised_later = self.bootstrap_promise.is_some_and(|promise| promise.era > era);
         let refused = has_leader
@@ -1387,11 +1391,11 @@
             return;
         }
         let (era, answers) = (bootstrap.era, bootstrap.answers.clone());
-        let by_log = |(seat, p): &(&Seat, &BootstrapStatus)| (p.last, std::cmp::Reverse(**seat));
+        let by_log = |(seat, status): &(&Seat, &BootstrapStatus)| (status.last, std::cmp::Reverse(**seat));
         let Some((seat, longest)) = answers.iter().max_by_key(by_log) else { return };
         let leader = Voter { seat: *seat, memory: longest.memory };
         let mut voters = vec![leader];
-        let others = answers.iter().map(|(seat, p)| Voter { seat: *seat, memory: p.memory });
+        let others = answers.iter().map(|(seat, status)| Voter { seat: *seat, memory: status.memory });
         voters.extend(others.filter(|v| *v != leader).take(self.settings.voter_count - 1));
         voters.sort();
         let voters = Voters::single(voters);
--- a/crates/stagepond-leadership/src/settings.rs
+++ b/crates/stagepond-leadership/src/settings.rs
@@ -4,7 +4,7 @@
 
 use crate::ids::{Seat, Tenths};
 
-/// The settings of an instance. All but `seats` and `durable` have a key in the operators' file.
+/// The settings of an instance. All but `seats` and `durable` have a key of their own in the operators' file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Number of instances of the tier. Their seats are 0 to `seats` - 1.
@@ -137,12 +137,14 @@
         self.hold_time.scale(rate_ratio) - self.lease_margin - Tenths(1)
     }
 
-    /// Time between two heartbeats of a leader.
+    /// Time between two heartbeats of a leader: a sixth of the hold time, or a round trip if that is longer,
+    /// but then at most a third of the hold time.
     pub fn heartbeat_interval(&self) -> Tenths {
         Tenths((self.hold_time.0 / 6).max(self.round_trip.0.min(self.hold_time.0 / 3)))
     }
 
-    /// After a longer time without any input the process may have been paused, or its clock stepped.
+    /// The longest time without any input that is not taken for a pause of the process or a step of its
+    /// clock.
     pub fn max_input_gap(&self) -> Tenths {
         Tenths(self.hold_time.0 / 3)
     }
--- a/crates/stagepond-leadership/src/wire.rs
+++ b/crates/stagepond-leadership/src/wire.rs
@@ -47,7 +47,7 @@
     /// For a suspected member: the instance whose probe it did not answer. Instances that only pass the state
     /// on do not count as a confirmation of the suspicion. For other members it has no meaning.
     pub suspected_by: Seat,
-    /// `None` if the member is known only by its datagrams, which do not tell its memory.
+    /// `None` if the member is known only by its datagrams, which do not contain its memory.
     ///
     /// `Some(Memory(0))` means that the memory was created with the process, so it equals `life`. That is the
     /// case for nearly every member without a disk, and this form takes one byte.
@@ -72,7 +72,7 @@
     }
 }
 
-/// What an instance of the pool tells the initiator of a bootstrap about its persistent state.
+/// An instance's persistent state in brief, for the initiator of a bootstrap.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BootstrapStatus {
     /// The highest era that the instance has seen or taken part in.
@@ -108,8 +108,8 @@
     /// Asks the recipient to probe `target` for the sender (SWIM's ping-req).
     PingReq { nonce: u32, target: Seat, gossip: Gossip },
 
-    /// Asks whether the recipient would vote for the sender in `term`. The answer binds nobody (Raft's
-    /// pre-vote, Ongaro 2014, section 9.6).
+    /// Asks whether the recipient would vote for the sender in `term`. The answer is not a vote and binds
+    /// neither side (Raft's pre-vote, Ongaro 2014, section 9.6).
     PreVoteRequest {
         term: Term,
         memory: Memory,
