--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -7,112 +7,238 @@
 //! each input the `RULES` are tried in order until none applies. Equal inputs give equal effects.
 //!
 //! The sequential test is the D-SPRT of G. Fellouris and G. V. Moustakides, "Decentralized Sequential
-//! Hypothesis Testing using Asynchronous Communication".
+//! Hypothesis Testing using Asynchronous Communication". Its evidence is log-likelihood ratios (natural
+//! logarithm); positive values are evidence against the build.
+//!
+//! Terms:
+//! - *late*: an answer after more than `LATE_SHARE_OF_SLO_TIME` of the SLO time. Late answers lower the
+//!   concurrency limit and make pods unhealthy.
+//! - *slow*: an answer after more than a quantile of the earlier build's answer times. Slow answers are
+//!   evidence in the latency and fleet tests.
+//! - *near*: in the zone of this sidecar; *far*: in another zone.
+//! - *on trial*: newer than what is released. *Under judgement*: the build that votes are about; it is judged
+//!   during its trial and after its release.
 
 #![allow(clippy::too_many_arguments)]
 
 pub use crate::state::Balancer;
 use crate::{host::*, state::*};
 
-// Sequential test. A comment gives the reason where a value differs from the paper or the design page.
+// Sequential test.
 
-/// Half width of the band (the paper's Delta): unsent evidence beyond it is sent as one bit.
-const BAND: f64 = 2.0;
-/// Number of sidecars up to which each has the full band. Beyond it the band shrinks, so that all evidence
-/// that may remain unsent stays near Wald's thresholds.
+/// Half width of the band around zero (the paper's Delta), as a log-likelihood ratio: unsent evidence beyond
+/// it is sent as one bit.
+const BAND_HALF_WIDTH: f64 = 2.0;
+/// Number of sidecars up to which each has the full band. With more of them the band shrinks, so that the sum
+/// of all evidence that may remain unsent stays near Wald's thresholds.
 const FULL_BAND_SIDECARS: f64 = 5.0;
-/// Probability of rolling back a good build.
+/// Probability of rolling back a good build (type I error).
 const ALPHA: f64 = 0.01;
-/// Probability of missing a bad build.
+/// Probability of advancing a bad build (type II error).
 const BETA: f64 = 0.05;
 /// Failure share assumed for the earlier build before any outcome is known.
-const INITIAL_P0: f64 = 0.02;
-/// Lower bound of that share in the error test.
-const MIN_P0: f64 = 0.01;
-/// Number of answers from which on a baseline is used.
+const INITIAL_FAILURE_SHARE: f64 = 0.02;
+/// Bounds of that share in the error test.
+const MIN_FAILURE_SHARE: f64 = 0.01;
+const MAX_FAILURE_SHARE: f64 = 0.9;
+/// Answer times of a build are not compared with those of the earlier build before it has given so many
+/// answers.
 const MIN_BASELINE_ANSWERS: u32 = 20;
-/// A bad build fails by this share more often than the earlier one.
+/// Outcomes over which that share is averaged.
+const FAILURE_WINDOW: f64 = 256.0;
+/// Failure share of a bad build above that of the earlier one (alternative hypothesis of the error test).
 const FAILURE_INCREASE: f64 = 0.05;
-/// Without a leader the sidecars with the lowest indexes vote.
+/// Number of sidecars that vote where no leadership is reported: those with the lowest indexes.
 const MAX_VOTERS: usize = 3;
 /// Each voter waits this much longer than the one before it.
 const VOTER_DELAY: Tenths = Tenths::ms(1500);
-/// Lower bound of the error and latency totals, as a multiple of the advance threshold.
-const MAX_CREDIT: f64 = 1.5;
+/// Most evidence for the build (credit) that the error and latency totals hold, as a multiple of the advance
+/// threshold.
+const MAX_CREDIT_FACTOR: f64 = 1.5;
 /// Answers of a pod younger than this are no evidence.
 const MIN_POD_AGE: Tenths = Tenths::ms(3000);
 /// Time from the start of a stage's pods to a vote to advance, if the evidence is not conclusive.
 const ADVANCE_WAIT: Tenths = Tenths::ms(4000);
 /// A conclusive vote to advance is cast this long after the minimum stage time.
 const CONCLUSIVE_ADVANCE_DELAY: Tenths = Tenths::ms(700);
-/// While fewer outcomes of the build are known, a vote to advance waits twice as long.
+/// While fewer outcomes of the build are known, a vote to advance waits `UNINFORMED_WAIT_FACTOR` times as
+/// long.
 const MIN_OUTCOMES_TO_ADVANCE: u32 = 6;
+const UNINFORMED_WAIT_FACTOR: f64 = 2.0;
+/// For this time from the release, outcomes of a released build are evidence in the error test.
+const RELEASE_OBSERVATION_TIME: Tenths = Tenths::ms(8000);
 /// An answer is slow if it takes longer than this quantile of the earlier build's answer times. A fixed limit
 /// such as the SLO time would never show a slow build on a quiet day.
 const SLOW_QUANTILE: f64 = 0.8;
 /// Step size for tracking the logarithm of that quantile: the inverse of the density there, for answer times
 /// with an exponential tail.
 const QUANTILE_GAIN: f64 = 3.0;
-/// A bad build is slow by this share more often than the earlier one.
+/// Step size of that quantile and of the share of slow answers once many answers are known.
+const SLOW_THRESHOLD_STEP: f64 = 0.04;
+/// Answers over which the mean answer time of the earlier build is averaged.
+const LATENCY_WINDOW: u32 = 64;
+/// Bounds of the earlier build's share of slow answers in the latency test.
+const MIN_SLOW_SHARE: f64 = 0.05;
+const MAX_SLOW_SHARE: f64 = 0.6;
+/// Share of slow answers of a bad build above that of the earlier one (alternative hypothesis of the latency
+/// test).
 const SLOW_INCREASE: f64 = 0.3;
-/// Slow answers come in runs, so each counts for less than an independent observation.
+/// Weight of an answer in the latency test. Slow answers come in runs, so each counts for less than an
+/// independent observation.
 const SLOW_WEIGHT: f64 = 0.3;
-/// Increase of the fleet's share of slow answers from which the fleet counts as slowed by the build.
+/// Factor on that weight near the concurrency limit, where the runs are longer.
+const SLOW_WEIGHT_NEAR_LIMIT: f64 = 0.4;
+/// Increase of the fleet's share of slow answers from which the fleet counts as slowed by the build, if the
+/// build has at least half of the traffic.
 const FLEET_SLOW_INCREASE: f64 = 0.2;
+/// Shortest time and fewest answers between two evaluations of the fleet.
 const FLEET_SAMPLE_INTERVAL: Tenths = Tenths::ms(1000);
+const MIN_FLEET_SAMPLE: f64 = 5.0;
+/// A fleet sample taken over a longer time weighs as if it were taken over this one, in seconds.
+const MAX_FLEET_SAMPLE_SECS: f64 = 3.0;
+/// Evidence for each second in which the fleet's share of slow answers is twice the minimum increase above
+/// the usual one and the build has all traffic.
+const FLEET_EVIDENCE_PER_SEC: f64 = 2.2;
+/// Factor on the moving sum of the fleet evidence for each round of `BROADCAST_INTERVAL`.
+const FLEET_SLOWNESS_DECAY: f64 = 0.8;
+/// Below this sum the fleet is certainly not slow.
+const FLEET_HEALTHY_BELOW: f64 = -0.7;
 /// A slow period counts against the build only if it begins within this time of the start of a stage.
 const SLOW_PERIOD_START_LIMIT: Tenths = Tenths::ms(7000);
-/// Time from the begin of a slow period until it is detected.
+/// Time from the start of a slow period until it is detected.
 const SLOW_PERIOD_DETECTION_TIME: Tenths = Tenths::ms(2000);
 /// A build with a smaller share of the pods cannot slow the whole fleet yet.
 const MIN_POD_SHARE_TO_SLOW_FLEET: f64 = 0.1;
-/// Share of wrong answers of a bad build.
+/// Share of wrong answers of a bad build (alternative hypothesis of the wrong-answer test).
 const WRONG_ANSWER_SHARE: f64 = 0.06;
+/// Initial estimate of the share of wrong answers that clients of the earlier build report, as objections and
+/// answers.
+const INITIAL_OBJECTIONS: f64 = 1.0;
+const INITIAL_ANSWERS: f64 = 250.0;
 /// Weight of an objection; below one because some are false.
 const OBJECTION_WEIGHT: f64 = 0.85;
+/// Bounds of the log-likelihood ratio of one objection.
+const MIN_OBJECTION_RATIO: f64 = 0.5;
+const MAX_OBJECTION_RATIO: f64 = 3.0;
 /// Weight of an answer without objection; below one because objections arrive seconds later, so silence
 /// proves less than an objection does.
 const NO_OBJECTION_WEIGHT: f64 = 0.7;
 
+// Timing.
+
+/// Interval of the periodic updates in `tick`.
 const TICK_INTERVAL: Tenths = Tenths::ms(50);
 /// A tick that comes later than this shows that the sidecar itself was stalled.
 const MAX_TICK_DELAY: Tenths = Tenths::ms(200);
+/// Interval at which evidence is summed and, if it is new, sent to the voters.
 const BROADCAST_INTERVAL: Tenths = Tenths::ms(250);
 /// Evidence of peers and answers of the earlier build are out of date after this time.
 const STALE_AFTER: Tenths = Tenths::ms(2000);
+/// The rate of succeeded dispatches is averaged over this time, in seconds, or over the uptime if that is
+/// shorter.
+const RATE_WINDOW_SECS: f64 = 15.0;
+/// The late share of a pod is averaged over the answers of this time, in seconds, but over at least
+/// `MIN_LATE_WINDOW` and at most `MAX_LATE_WINDOW` answers.
+const LATE_WINDOW_SECS: f64 = 6.0;
+const MIN_LATE_WINDOW: f64 = 4.0;
+const MAX_LATE_WINDOW: f64 = 40.0;
+/// Decay of the late share of far pods, which get few dispatches, in parts per second.
+const FAR_LATE_SHARE_DECAY_PER_SEC: f64 = 0.1;
+/// Decay of the recent maximum of open invocations, in parts per second.
+const MAX_OPEN_DECAY_PER_SEC: f64 = 0.15;
+/// Decay of the recent traffic of a key bucket with each tick.
+const KEY_TRAFFIC_DECAY: f64 = 0.995;
+
+// Routing, retries and throttling.
+
+/// Least weight of a pod, whatever its list says, since loads are divided by it.
+const MIN_POD_WEIGHT: f64 = 0.01;
+/// A sidecar draws from at least this many pods of a set, otherwise from one for each succeeded dispatch a
+/// second.
+const MIN_SUBSET_SIZE: f64 = 6.0;
+/// Largest share of dispatches that go to far pods though near ones could take them.
+const MAX_SPILL_SHARE: f64 = 0.8;
+/// Change of that share a second, for each unit of the difference in late shares.
+const SPILL_GAIN_PER_SEC: f64 = 0.5;
+/// The difference in late shares counts from the cross-zone price plus this on.
+const SPILL_MARGIN: f64 = 0.05;
+/// Keys go to the build on trial up to these shares of the cap and of the trial's share of the traffic, or
+/// all of them if that is `ALL_KEYS_SHARE` or more of the traffic.
+const KEY_SHARE_OF_CAP: f64 = 0.8;
+const KEY_SHARE_OF_TRIAL: f64 = 0.9;
+const ALL_KEYS_SHARE: f64 = 0.8;
 /// Number of buckets into which keys are hashed.
 const KEY_BUCKETS: usize = 64;
-/// After this share of the SLO time an invocation is no longer held, and a dispatch in flight is checked.
+/// After this share of the SLO time an invocation without a dispatch is given up, and a dispatch in flight is
+/// checked.
 const HOLD_SHARE: f64 = 0.5;
 /// An answer is late after this share of the SLO time.
-const LATE_AFTER: f64 = 0.5;
+const LATE_SHARE_OF_SLO_TIME: f64 = 0.5;
 /// How much more loaded near pods must be, for each unit of the cross-zone price, before a far pod is taken.
 const CROSS_ZONE_LOAD_MARGIN: f64 = 6.0;
 /// Share of late answers above which the fleet counts as full.
 const MAX_LATE_SHARE: f64 = 0.45;
 /// A pod whose share of errors or late answers exceeds the mean by this much is avoided.
 const UNHEALTHY_MARGIN: f64 = 0.2;
+/// A trial pod is passed over for the earlier pod if its load exceeds this multiple of the other's load by
+/// more than `TRIAL_LOAD_MARGIN`.
+const TRIAL_LOAD_FACTOR: f64 = 2.0;
+const TRIAL_LOAD_MARGIN: f64 = 0.7;
+/// Random draws in search of two healthy pods, before the whole set is scanned.
+const MAX_POD_DRAWS: usize = 8;
+/// Decay of a pod's report of dispatches in flight: after a time of 1/6 s it has half its weight.
+const REPORT_DECAY_PER_SEC: f64 = 6.0;
+/// Step size of the moving average of those reports.
+const REPORT_STEP: f64 = 0.5;
+/// A pod is stuck if it is silent for this multiple of the longest mean answer time, within these bounds.
+const STUCK_AFTER_MEANS: f64 = 3.0;
+const MIN_STUCK_AFTER_MS: f64 = 150.0;
+const MAX_STUCK_AFTER_MS: f64 = 1000.0;
+/// Rate of dispatches to a cold pod, as a share of the rate at which it would become overloaded.
+const COLD_RATE_SHARE: f64 = 0.6;
+/// A cold pod takes a dispatch once its level is below what it drains in this time, in seconds.
+const COLD_DRAIN_SECS: f64 = 0.3;
+/// After a time-out or a repeated connection failure a pod is avoided for this time, doubled for each of its
+/// consecutive failures, which are counted up to `MAX_FAILURES_IN_ROW`.
+const POD_BACKOFF_MS: i64 = 250;
+const MAX_FAILURES_IN_ROW: u32 = 4;
+/// A refused vote is repeated after the vote time-out, doubled for each consecutive refusal up to this
+/// number.
+const MAX_REFUSED_VOTES: u32 = 5;
 /// Outcomes over which a pod's share of errors is averaged.
 const ERROR_SHARE_WINDOW: f64 = 12.0;
+/// A pod with a larger share has had an error within about its last 20 answers.
+const RECENT_ERROR_SHARE: f64 = UNHEALTHY_MARGIN / 16.0;
 /// Largest share of first dispatches that goes to the build on trial.
 const MAX_TRIAL_SHARE: f64 = 0.85;
 /// A dispatch in flight that was not replaced is checked again after this share of the SLO time.
 const RECHECK_SHARE: f64 = 0.2;
-/// Dispatches that replace a stuck one are limited to this share of the invocations, with a burst.
+/// Dispatches that replace a stuck one are limited to this share of the invocations, plus a burst of
+/// `REPLACEMENT_BURST` dispatches.
 const REPLACEMENT_SHARE: f64 = 0.1;
 const REPLACEMENT_BURST: f64 = 20.0;
 /// A fingerprint is repeated only within this share of its deduplication window.
 const DEDUP_WINDOW_SHARE: f64 = 0.95;
-/// Outcomes over which the failure share of the earlier build is averaged.
-const FAILURE_WINDOW: f64 = 256.0;
-/// Answers over which the answer times of the earlier build are averaged.
-const LATENCY_WINDOW: u32 = 64;
-/// Step size of the slow threshold and of the share of slow answers once many answers are known.
-const SLOW_THRESHOLD_STEP: f64 = 0.04;
+/// Open and abandoned invocations allowed until the limit is adjusted for the first time.
 const INITIAL_CONCURRENCY_LIMIT: f64 = 64.0;
-/// Initial estimate of the objections against the earlier build: one in 250 answers.
-const INITIAL_OBJECTIONS: f64 = 1.0;
-const INITIAL_ANSWERS: f64 = 250.0;
+/// Least limit. It is below one, so that a sidecar with little traffic can throttle most of it.
+const MIN_CONCURRENCY_LIMIT: f64 = 0.3;
+/// The limit is adjusted after this share of it in answers, at least `MIN_LIMIT_SAMPLE`.
+const LIMIT_SAMPLE_SHARE: f64 = 0.3;
+const MIN_LIMIT_SAMPLE: f64 = 8.0;
+/// The limit falls by this share of it, and by `LIMIT_CUT_PER_EXCESS` for each unit of the share of late
+/// answers above its maximum.
+const MIN_LIMIT_CUT: f64 = 0.07;
+const LIMIT_CUT_PER_EXCESS: f64 = 0.6;
+/// The limit may rise if open invocations use more than this share of it.
+const NEAR_LIMIT_SHARE: f64 = 0.6;
+/// Step size of the moving shares and means that the limit depends on.
+const LOAD_AVERAGE_STEP: f64 = 0.1;
+/// Step size of the moving average of the billed value for work.
+const VALUE_AVERAGE_STEP: f64 = 0.02;
+/// Bounds of the factor on the concurrency limit that depends on the billed value.
+const MIN_VALUE_FACTOR: f64 = 0.7;
+const MAX_VALUE_FACTOR: f64 = 1.3;
 /// Start time of a pod whose start is unknown: long before any other, so the pod counts as warm.
 const UNKNOWN_START: Tenths = Tenths(i64::MIN / 4);
 
@@ -141,7 +267,7 @@
 }
 
 impl Balancer {
-    /// Creates the module with the given settings; `seed` determines all its random choices.
+    /// Creates a balancer with the given settings; `seed` determines all its random choices.
     pub fn new(facts: Facts, seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let ops = facts.operations.len();
@@ -153,14 +279,15 @@
             ..LatencyBaseline::default()
         };
         Balancer {
-            band: BAND * (FULL_BAND_SIDECARS / facts.sidecar_count.max(1) as f64).min(1.0),
+            band_half_width: BAND_HALF_WIDTH
+                * (FULL_BAND_SIDECARS / facts.sidecar_count.max(1) as f64).min(1.0),
             concurrency_limit: INITIAL_CONCURRENCY_LIMIT,
             trial_tokens: vec![0.0; if facts.cap_per_operation { ops } else { 1 }],
             key_bucket_traffic: vec![0.0; KEY_BUCKETS],
             latency_baselines: (0..facts.machine_kinds.max(1))
                 .flat_map(|_| facts.operations.iter().map(latency_baseline))
                 .collect(),
-            failure_baselines: vec![FailureBaseline { share: INITIAL_P0 }; ops],
+            failure_baselines: vec![FailureBaseline { share: INITIAL_FAILURE_SHARE }; ops],
             earlier_objections: INITIAL_OBJECTIONS,
             earlier_answers: INITIAL_ANSWERS,
             own_counts: EvidenceCounts { session: rng.u16(..), ..EvidenceCounts::default() },
@@ -191,10 +318,11 @@
         key.iter().for_each(|key| self.key_bucket_traffic[key.bucket(KEY_BUCKETS)] += 1.0);
         let limit =
             self.concurrency_limit * self.value_factor(op) * self.answer_probability(op, until - self.now);
-        // The random term lets a sidecar with little traffic keep to a limit below one invocation.
+        // The random term lets a sidecar with little traffic keep to a limit below one: a share of the
+        // invocations passes.
         if self.open as f64 + self.abandoned + self.rng.f64() >= limit {
             self.limit_reached = true;
-            self.fleet_sample = (self.fleet_sample.0 + 1.0, self.fleet_sample.1 + 1.0);
+            self.fleet_sample.add(1.0, 1.0);
             host.throttle(&inv, self.facts.max_retry_after);
             return self.apply_rules(host);
         }
@@ -220,16 +348,17 @@
         let wait = invocation.until - sent_at;
         self.bind_key(key.filter(|_| ending == Ending::Succeeded), self.pods.build[pod]);
         self.record_pod_outcome(pod, sent_at, ending, in_flight, took > self.late_after(op));
-        // An invocation that fails at every pod blames neither a pod nor the build. A failure counts once
-        // another pod has answered the same invocation, or if no further dispatch may be made.
-        let no_retry =
+        // A failure counts against the pod and the build once another pod has answered the same invocation,
+        // or if no further dispatch may be made and no other pod has failed. An invocation that fails at
+        // several pods is at fault itself.
+        let no_further_dispatch =
             !self.may_dispatch_again(&self.invocations[inv]) || nth + 1 >= self.facts.max_dispatches;
         if ending == Ending::Succeeded {
             failed_pods.iter().for_each(|&p| self.record_error(p, op));
         }
-        if failed && no_retry && failed_pods.is_empty() {
+        if failed && no_further_dispatch && failed_pods.is_empty() {
             self.record_error(pod, op);
-        } else if !failed && self.now != self.stalled_at {
+        } else if !failed && !self.has_just_stalled() {
             self.record_evidence(pod, op, took, ending);
         }
         self.sample_for_limit(pod, op, took, wait, ending);
@@ -245,7 +374,8 @@
     /// The client of `inv` has left, or has its answer already.
     pub fn on_abort(&mut self, host: &mut dyn Host, inv: &InvId) {
         self.update_clock(host);
-        // The time-out of the dispatch would show only seconds later that the pod keeps clients waiting.
+        // A client that leaves early was waiting for the pod. The time-out of the dispatch would show only
+        // seconds later that the pod is late.
         if let Some(pending) = self.invocations.get(inv).and_then(Invocation::pending_dispatch) {
             let waited = self.now - pending.sent_at;
             self.sample_for_limit(pending.pod, pending.op, waited, waited, Ending::Succeeded);
@@ -254,14 +384,15 @@
         self.apply_rules(host);
     }
 
-    /// One entry of a pod list. `started_at` is the start of the process, if known.
+    /// One entry of a pod list. `weight` is the capacity of the pod relative to others; `started_at` is the
+    /// start of its process, if known.
     pub fn on_pod(
         &mut self, pod: PodId, kind: MachineKind, zone: Zone, availability: Availability, cell: Cell,
         weight: f64, started_at: Option<Tenths>, build: Build,
     ) {
         let started_at = started_at.unwrap_or(UNKNOWN_START);
         let p = self.pods.find_or_add(self.now, pod, kind, zone, cell, started_at, build, self.rng.f64());
-        self.pods.weight[p] = weight.max(0.01);
+        self.pods.weight[p] = weight.max(MIN_POD_WEIGHT);
         self.pods.available[p] = availability == Availability::Up;
         self.pods.listed[p] = true;
     }
@@ -283,15 +414,17 @@
     }
 
     /// The platform reported a release whose stage started `since` ago; `to_vote` says that this answers a
-    /// vote. Unless `ending` is [`Ending::Succeeded`] there was no report, and the release given is ignored.
+    /// vote. Unless `ending` is [`Ending::Succeeded`] there was no report, and the values of the release are
+    /// ignored. `cap` is the largest share of traffic for the build, 0 to 1.
     pub fn on_stage(
         &mut self, host: &mut dyn Host, build: Build, stage: u32, since: Tenths, phase: Phase, to_vote: bool,
         cap: f64, ending: Ending,
     ) {
         self.update_clock(host);
         if let (true, Some(ballot)) = (to_vote, &mut self.ballot) {
+            // Exponential backoff while votes are refused; an accepted vote is repeated before it expires.
             self.refused_votes =
-                if ending == Ending::Succeeded { 0 } else { (self.refused_votes + 1).min(5) };
+                if ending == Ending::Succeeded { 0 } else { (self.refused_votes + 1).min(MAX_REFUSED_VOTES) };
             let retry_delay = self.facts.vote_timeout.scale(f64::from(1 << self.refused_votes));
             let settled = matches!(ending, Ending::Succeeded | Ending::Moot);
             ballot.repeat_at = self.now + if settled { self.facts.vote_ttl.scale(0.5) } else { retry_delay };
@@ -300,6 +433,7 @@
             if matches!(phase, Phase::GoingBack | Phase::Withdrawn) {
                 self.key_builds.retain(|_, bound| *bound < build);
             }
+            // A lowered cap takes effect at once: tokens from the time of the higher cap are dropped.
             if self.release.is_some_and(|r| r.build == build && cap < r.cap) {
                 let limit_tokens = |tokens: &mut f64| *tokens = if cap > 0.0 { tokens.min(1.0) } else { 0.0 };
                 self.trial_tokens.iter_mut().for_each(limit_tokens);
@@ -345,7 +479,10 @@
         if build.is_some() && build == self.judged {
             let p0 = self.earlier_objections / self.earlier_answers;
             let p1 = WRONG_ANSWER_SHARE * self.facts.flag_share;
-            self.add_evidence(WRONG_ANSWER_TEST, OBJECTION_WEIGHT * (p1 / p0).ln().clamp(0.5, 3.0));
+            self.add_evidence(
+                WRONG_ANSWER_TEST,
+                OBJECTION_WEIGHT * (p1 / p0).ln().clamp(MIN_OBJECTION_RATIO, MAX_OBJECTION_RATIO),
+            );
         } else if build.is_some() {
             self.earlier_objections += 1.0;
         }
@@ -364,6 +501,11 @@
         self.stalled_at = if self.now > self.next_tick + MAX_TICK_DELAY { self.now } else { self.stalled_at };
     }
 
+    /// Whether a stall of this sidecar was detected at the current time.
+    fn has_just_stalled(&self) -> bool {
+        self.now == self.stalled_at
+    }
+
     /// Runs the tick if it is due, then the rules until none applies.
     fn apply_rules(&mut self, host: &mut dyn Host) {
         self.update_clock(host);
@@ -442,13 +584,13 @@
         let wait = if conclusive && informed {
             min_wait
         } else {
-            ADVANCE_WAIT.scale(if informed { 1.0 } else { 2.0 })
+            ADVANCE_WAIT.scale(if informed { 1.0 } else { UNINFORMED_WAIT_FACTOR })
         };
         let may_advance =
             release.phase == Phase::Trial && self.slow_period != Some(true) && self.facts.votes_advance;
         // A total that rises from its lowest value in this stage is evidence against the build.
-        let losing_credit =
-            (0..TEST_COUNT).any(|test| self.totals[test] > (self.lowest_totals[test] + BAND / 2.0).min(0.0));
+        let losing_credit = (0..TEST_COUNT)
+            .any(|test| self.totals[test] > (self.lowest_totals[test] + BAND_HALF_WIDTH / 2.0).min(0.0));
         if !may_advance || losing_credit || self.now < pods_ready_at.max(self.started_at) + wait {
             self.advance_ready_since = None;
             return false;
@@ -520,7 +662,7 @@
         // While many answers are late, a pod that looks stuck has a queue, and goes on executing what is
         // cancelled.
         let stuck =
-            self.late_share[0] < MAX_LATE_SHARE / 2.0 && self.is_stuck(invocation.dispatches[nth].pod);
+            self.late_share.near < MAX_LATE_SHARE / 2.0 && self.is_stuck(invocation.dispatches[nth].pod);
         if !stuck || !within_limits || !self.may_dispatch_again(invocation) {
             let next_check = self.now + self.facts.operations[invocation.op.0].slo_time.scale(RECHECK_SHARE);
             return self.checks.push(next_check, inv);
@@ -609,7 +751,9 @@
         let trial = if to_trial { self.choose_from_set(true, &tried, &eligible) } else { None };
         let earlier = if bound_to_trial { None } else { self.choose_from_set(false, &tried, &eligible) };
         match (trial, earlier) {
-            (Some(t), Some(e)) if self.load(t) > self.load(e) * 2.0 + 0.7 => Some(e),
+            (Some(t), Some(e)) if self.load(t) > self.load(e) * TRIAL_LOAD_FACTOR + TRIAL_LOAD_MARGIN => {
+                Some(e)
+            }
             (t, e) => t.or(e),
         }
     }
@@ -626,18 +770,17 @@
             let usable = trial.iter().filter(|&&p| self.can_take(p)).map(|&p| self.capacity(p)).sum::<f64>();
             // Near its limit the fleet is loaded evenly, as a little more load would make any build late
             // there.
-            let even = capacity_before == 0.0 || self.late_share[0] > MAX_LATE_SHARE / 2.0;
+            let even = capacity_before == 0.0 || self.late_share.near > MAX_LATE_SHARE / 2.0;
             usable / if even { capacity(earlier) + capacity(trial) } else { capacity_before }.max(1e-9)
         };
-        let [near_earlier, near_trial] = self.near_pods;
         let all =
-            share(&self.earlier_pods, &self.trial_pods, self.capacity_before_trial[0]).min(MAX_TRIAL_SHARE);
+            share(&self.earlier_pods, &self.trial_pods, self.capacity_before_trial.all).min(MAX_TRIAL_SHARE);
         let near = share(
-            &self.earlier_pods[..near_earlier],
-            &self.trial_pods[..near_trial],
-            self.capacity_before_trial[1],
+            &self.earlier_pods[..self.near_pods.earlier],
+            &self.trial_pods[..self.near_pods.trial],
+            self.capacity_before_trial.near,
         );
-        near.min(all).max(if near_trial > 0 { 0.0 } else { all })
+        near.min(all).max(if self.near_pods.trial > 0 { 0.0 } else { all })
     }
 
     /// Chooses a pod of this zone, unless one of another zone is so much less loaded that it is worth the
@@ -655,14 +798,19 @@
         }
     }
 
-    /// The less loaded of two healthy pods drawn at random. The whole set is scanned only if none of eight
-    /// drawn is healthy; a pod that is merely usable is taken if no healthy one exists.
+    /// The less loaded of two healthy pods drawn at random ("power of two choices"). The whole set is scanned
+    /// only if none of `MAX_POD_DRAWS` pods drawn is healthy; a pod that is merely usable is taken if no
+    /// healthy one exists.
     fn choose_of_two(
         &mut self, trial: bool, near: bool, tried: &[usize], eligible: PodFilter,
     ) -> Option<usize> {
-        let set = if trial { &self.trial_pods } else { &self.earlier_pods };
+        let (set, near_count) = if trial {
+            (&self.trial_pods, self.near_pods.trial)
+        } else {
+            (&self.earlier_pods, self.near_pods.earlier)
+        };
         let mut rng = self.rng.clone();
-        let (near_pods, far_pods) = set.split_at(self.near_pods[usize::from(trial)]);
+        let (near_pods, far_pods) = set.split_at(near_count);
         let all = if near { near_pods } else { far_pods };
         let subset = &all[..self.subset_size.min(all.len())];
         let usable = |s: &Self, p: usize| eligible(s, p) && s.can_take(p);
@@ -673,7 +821,7 @@
             answering && few_errors && few_late && !tried.contains(&p) && usable(s, p)
         };
         let (mut best, mut found) = (None, 0);
-        for _ in 0..if subset.is_empty() { 0 } else { 8 } {
+        for _ in 0..if subset.is_empty() { 0 } else { MAX_POD_DRAWS } {
             let p = subset[rng.usize(0..subset.len())];
             // Drawn in proportion to capacity: with nothing in flight the pod of larger capacity always looks
             // less loaded.
@@ -703,13 +851,13 @@
         // A report loses weight with age; otherwise a pod once found busy, and avoided since, would never be
         // found idle again.
         let age = (self.now - self.pods.last_answer[p]).as_secs().max(0.0);
-        let elsewhere = self.pods.in_flight_elsewhere[p] / (1.0 + 6.0 * age);
+        let elsewhere = self.pods.in_flight_elsewhere[p] / (1.0 + REPORT_DECAY_PER_SEC * age);
         (self.pods.in_flight[p] as f64 + self.pods.abandoned[p] + elsewhere) / self.capacity(p)
     }
 
     /// Dispatches a second that this sidecar may send to the pod while it is cold.
     fn cold_dispatch_rate(&self, p: usize) -> f64 {
-        0.6 * self.facts.overload_multiple * self.warm_share(p) * self.rate_per_pod
+        COLD_RATE_SHARE * self.facts.overload_multiple * self.warm_share(p) * self.rate_per_pod
     }
 
     /// Dispatch level of the pod, drained up to now.
@@ -724,19 +872,22 @@
     /// random level drawn in `on_pod` decides who sends the first one and when, since hundreds of single
     /// dispatches would be a burst too.
     fn can_take(&self, p: usize) -> bool {
-        self.warm_share(p) >= 1.0 || self.current_dispatch_level(p) <= 0.3 * self.cold_dispatch_rate(p)
+        self.warm_share(p) >= 1.0
+            || self.current_dispatch_level(p) <= COLD_DRAIN_SECS * self.cold_dispatch_rate(p)
     }
 
     /// Whether the pod has several dispatches in flight and has not answered for much longer than usual.
     fn is_stuck(&self, p: usize) -> bool {
         let longest_mean_ms = self.latency_baselines.iter().map(|b| b.mean_ms).fold(0.0, f64::max);
-        let max_silence = Tenths::floor_ms((longest_mean_ms * 3.0).clamp(150.0, 1000.0));
+        let max_silence = Tenths::floor_ms(
+            (longest_mean_ms * STUCK_AFTER_MEANS).clamp(MIN_STUCK_AFTER_MS, MAX_STUCK_AFTER_MS),
+        );
         self.pods.in_flight[p] >= 2 && self.now - self.pods.last_answer[p] > max_silence
     }
 
     /// After so long an answer to this operation is late.
     fn late_after(&self, op: Op) -> Tenths {
-        self.facts.operations[op.0].slo_time.scale(LATE_AFTER)
+        self.facts.operations[op.0].slo_time.scale(LATE_SHARE_OF_SLO_TIME)
     }
 
     /// Updates the health of a pod by the ending of a dispatch sent at `sent_at`.
@@ -747,11 +898,12 @@
         self.pods.abandoned[p] += f64::from(matches!(ending, Ending::TimedOut | Ending::Cancelled));
         if let Some(reported) = in_flight {
             let elsewhere = (reported - self.pods.in_flight[p] as f64).max(0.0);
-            self.pods.in_flight_elsewhere[p] += (elsewhere - self.pods.in_flight_elsewhere[p]) * 0.5;
+            let change = elsewhere - self.pods.in_flight_elsewhere[p];
+            self.pods.in_flight_elsewhere[p] += change * REPORT_STEP;
         }
         // A pod may be late for this sidecar only. If no other pods are healthy, the whole fleet is full, and
         // the answer says nothing about the pod.
-        if matches!(ending, Ending::Succeeded | Ending::TimedOut) && self.now != self.stalled_at {
+        if matches!(ending, Ending::Succeeded | Ending::TimedOut) && !self.has_just_stalled() {
             let late_alone = f64::from(late && self.some_pods_healthy);
             self.pods.late_share[p] += (late_alone - self.pods.late_share[p]) / self.late_share_window;
         }
@@ -775,9 +927,9 @@
                     self.pods.dispatch_level[p] =
                         DispatchLevel { level: self.rng.f64(), updated_at: self.now };
                 }
-                self.pods.failures_in_row[p] = (self.pods.failures_in_row[p] + 1).min(4);
+                self.pods.failures_in_row[p] = (self.pods.failures_in_row[p] + 1).min(MAX_FAILURES_IN_ROW);
                 let avoid = repeated || ending == Ending::TimedOut;
-                let backoff_ms = i64::from(avoid) * (250 << self.pods.failures_in_row[p]);
+                let backoff_ms = i64::from(avoid) * (POD_BACKOFF_MS << self.pods.failures_in_row[p]);
                 self.pods.avoided_until[p] = self.now + Tenths::ms(backoff_ms);
             }
             _ => {}
@@ -826,7 +978,7 @@
                 baseline.slow_threshold_ms
             };
             let slower = f64::from(timed_out || ms > threshold);
-            self.fleet_sample = (self.fleet_sample.0 + slower, self.fleet_sample.1 + 1.0);
+            self.fleet_sample.add(slower, 1.0);
         }
         if is_judged {
             self.judge_outcome(p, op, age, slow, failed, cancelled);
@@ -847,25 +999,25 @@
         let released = self.is_released();
         // What begins long after a release is not caused by the build, and no earlier pod is left to compare
         // with.
-        let release_is_old =
-            released && self.release.is_some_and(|r| self.now > r.stage_started_at + ADVANCE_WAIT.scale(2.0));
+        let release_is_old = released
+            && self.release.is_some_and(|r| self.now > r.stage_started_at + RELEASE_OBSERVATION_TIME);
         let excused = release_is_old || failed && self.errors_are_excused(released);
-        let p0 = self.failure_baselines[op.0].share.clamp(MIN_P0, 0.9);
+        let p0 = self.failure_baselines[op.0].share.clamp(MIN_FAILURE_SHARE, MAX_FAILURE_SHARE);
         let error_evidence =
             if excused || cancelled { 0.0 } else { log_likelihood_ratio(failed, p0, p0 + FAILURE_INCREASE) };
         // A slow build cannot be told from a slow period if the earlier build has not answered recently, has
         // hardly any load left, or the fleet is near its limit.
         let baseline = &self.latency_baselines[self.baseline_index(p, op)];
         let comparable = self.cap() < 1.0
-            && self.late_share[0] < MAX_LATE_SHARE / 2.0
+            && self.late_share.near < MAX_LATE_SHARE / 2.0
             && self.now < baseline.updated_at + STALE_AFTER;
         let warm_on_trial = !failed && !released && age >= self.facts.warmup_time;
         if warm_on_trial && comparable && baseline.answers >= MIN_BASELINE_ANSWERS {
-            // The upper end of the estimate, since a sidecar with few answers knows little.
+            // The upper end of the estimate, since a sidecar with few answers knows little: the standard
+            // error of a share of n answers is at most 0.5 / sqrt(n).
             let uncertainty = 0.5 / f64::from(baseline.answers.min(LATENCY_WINDOW)).sqrt();
-            let p0 = (baseline.slow_share + uncertainty).clamp(0.05, 0.6);
-            // Near the concurrency limit slow answers come in longer runs.
-            let run_weight = if self.open as f64 > self.concurrency_limit * 0.6 { 0.4 } else { 1.0 };
+            let p0 = (baseline.slow_share + uncertainty).clamp(MIN_SLOW_SHARE, MAX_SLOW_SHARE);
+            let run_weight = if self.is_near_limit() { SLOW_WEIGHT_NEAR_LIMIT } else { 1.0 };
             let ratio = log_likelihood_ratio(slow, p0, p0 + SLOW_INCREASE);
             self.add_evidence(LATENCY_TEST, SLOW_WEIGHT * run_weight * ratio);
         }
@@ -890,7 +1042,7 @@
             own_pods.iter().filter(|p| self.pods.last_answer[**p] > self.pods.started_at[**p]).count();
         let max_failing = answered / 4 + usize::from(answered < own_pods.len());
         earlier_pods_fail && pods_with_errors(UNHEALTHY_MARGIN) <= answered.max(2) / 2
-            || pods_with_errors(UNHEALTHY_MARGIN / 16.0) <= max_failing
+            || pods_with_errors(RECENT_ERROR_SHARE) <= max_failing
     }
 
     /// Index into `latency_baselines` for the machine kind of pod `p`.
@@ -902,8 +1054,8 @@
     /// observation that is heavier than the band counts as several crossings, with the remainder kept.
     fn add_evidence(&mut self, test: usize, weight: f64) {
         let sum = self.unsent_evidence[test] + weight;
-        let crossings = (sum / self.band).trunc();
-        self.unsent_evidence[test] = sum - crossings * self.band;
+        let crossings = (sum / self.band_half_width).trunc();
+        self.unsent_evidence[test] = sum - crossings * self.band_half_width;
         let counts = if crossings > 0.0 {
             &mut self.own_counts.up_crossings
         } else {
@@ -921,19 +1073,20 @@
         for (test, evidence) in pending.into_iter().enumerate() {
             // Objections are late and few, and a slow fleet is a matter of the moment: neither test gathers
             // credit.
-            let credit = -MAX_CREDIT * advance_threshold();
-            let min = [credit, credit, -BAND, 0.0][test];
-            self.totals[test] = (self.totals[test] + evidence).clamp(min, rollback_threshold() + BAND);
+            let credit = -MAX_CREDIT_FACTOR * advance_threshold();
+            let min = [credit, credit, -BAND_HALF_WIDTH, 0.0][test];
+            self.totals[test] =
+                (self.totals[test] + evidence).clamp(min, rollback_threshold() + BAND_HALF_WIDTH);
             self.lowest_totals[test] = self.lowest_totals[test].min(self.totals[test]);
         }
     }
 
     /// Returns the fleet evidence; evidence against the build is dropped if the slow period did not begin
-    /// soon after the build got more traffic. The begin is determined from the sum of all sidecars: of a few
+    /// soon after the build got more traffic. Its start is determined from the sum of all sidecars: of a few
     /// answers a second sometimes none is slow, and a single sidecar would then see a new period begin.
     fn filter_slow_period(&mut self, evidence: f64) -> f64 {
-        self.fleet_slowness = self.fleet_slowness * 0.8 + evidence;
-        if self.fleet_slowness < -0.7 {
+        self.fleet_slowness = self.fleet_slowness * FLEET_SLOWNESS_DECAY + evidence;
+        if self.fleet_slowness < FLEET_HEALTHY_BELOW {
             self.fleet_healthy_at = self.now;
         }
         // If the fleet was healthy until the first pods of the stage came, which are still cold, something
@@ -944,12 +1097,12 @@
                 r.stage_started_at <= self.pods.started_at[p] && self.pods.started_at[p] <= detectable_since
             })
         };
-        let began_with_stage = |r: ReleaseState| {
+        let began_soon_after_start = |r: ReleaseState| {
             self.now < r.stage_started_at + SLOW_PERIOD_START_LIMIT
                 && (self.fleet_healthy_at < detectable_since || had_time_to_slow(r))
         };
         let began_with_stage =
-            !self.trial_pods.is_empty() && self.judged_release().is_some_and(began_with_stage);
+            !self.trial_pods.is_empty() && self.judged_release().is_some_and(began_soon_after_start);
         self.slow_period = (self.fleet_slowness > 0.0).then(|| self.slow_period.unwrap_or(began_with_stage));
         if self.slow_period == Some(false) {
             evidence.min(0.0)
@@ -968,16 +1121,20 @@
                 baseline.threshold_before_trial_ms = baseline.slow_threshold_ms;
             }
         }
-        if self.now < self.fleet_sampled_at + FLEET_SAMPLE_INTERVAL || self.fleet_sample.1 < 5.0 {
+        if self.now < self.fleet_sampled_at + FLEET_SAMPLE_INTERVAL
+            || self.fleet_sample.all < MIN_FLEET_SAMPLE
+        {
             return;
         }
-        let seconds = (self.now - self.fleet_sampled_at).as_secs().min(3.0);
+        let seconds = (self.now - self.fleet_sampled_at).as_secs().min(MAX_FLEET_SAMPLE_SECS);
         self.fleet_sampled_at = self.now;
-        let (slow, all) = std::mem::take(&mut self.fleet_sample);
+        let sample = std::mem::take(&mut self.fleet_sample);
+        let slow_share = sample.share();
         if before_trial {
             self.samples_before += 1.0;
+            // Average of the first ten samples, then a moving average.
             self.slow_share_before +=
-                (slow / all - self.slow_share_before) * (1.0 / self.samples_before).max(0.1);
+                (slow_share - self.slow_share_before) * (1.0 / self.samples_before).max(0.1);
             return;
         }
         let usual = self.slow_share_before.max(1.0 - SLOW_QUANTILE);
@@ -986,9 +1143,12 @@
         let traffic = if self.no_earlier_pods { 0.5 } else { self.trial_share };
         let min_increase = FLEET_SLOW_INCREASE * (2.0 * traffic).clamp(0.5, 1.0);
         // A bound below the random variation of a few answers would make the sum of many sidecars too small.
-        let bound = 1.0 + 2.0 / all.sqrt();
-        let excess = ((slow / all - usual - min_increase) / min_increase).clamp(-bound, bound);
-        self.add_evidence(FLEET_TEST, excess * 2.2 * seconds * traffic.max((2.0 * traffic).min(0.5)));
+        let bound = 1.0 + 2.0 / sample.all.sqrt();
+        let excess = ((slow_share - usual - min_increase) / min_increase).clamp(-bound, bound);
+        self.add_evidence(
+            FLEET_TEST,
+            excess * FLEET_EVIDENCE_PER_SEC * seconds * traffic.max((2.0 * traffic).min(0.5)),
+        );
     }
 
     /// Samples an answer for the concurrency limit, which follows the share of late answers: a few costly
@@ -997,7 +1157,7 @@
     fn sample_for_limit(&mut self, p: usize, op: Op, took: Tenths, wait: Tenths, ending: Ending) {
         let late_after = self.late_after(op);
         let late = match ending {
-            _ if self.now == self.stalled_at => return,
+            _ if self.has_just_stalled() => return,
             // If the client does not wait until an answer would be late, an early answer says nothing either.
             Ending::Succeeded | Ending::TimedOut if wait < late_after => return,
             Ending::Succeeded => took > late_after,
@@ -1006,14 +1166,21 @@
         };
         let usual_ms = self.latency_baselines[self.baseline_index(p, op)].mean_ms;
         if usual_ms > 0.0 && took > Tenths(0) {
-            self.slowdown += ((took.0 as f64 / 10.0 / usual_ms).min(20.0) - self.slowdown) * 0.1;
+            self.slowdown +=
+                ((took.0 as f64 / 10.0 / usual_ms).min(20.0) - self.slowdown) * LOAD_AVERAGE_STEP;
         }
-        let far = usize::from(self.pods.zone[p] != self.facts.zone);
-        self.late_share[far] += (f64::from(late) - self.late_share[far]) * 0.1;
+        let late_share = if self.pods.zone[p] == self.facts.zone {
+            &mut self.late_share.near
+        } else {
+            &mut self.late_share.far
+        };
+        *late_share += (f64::from(late) - *late_share) * LOAD_AVERAGE_STEP;
         // Time-outs and failed connections at a few pods do not show that the fleet is full.
         let counts = f64::from(matches!(ending, Ending::Succeeded | Ending::Full));
-        self.limit_sample = (self.limit_sample.0 + counts * f64::from(late), self.limit_sample.1 + counts);
-        if self.limit_sample.1 >= (0.3 * self.concurrency_limit.min(self.max_open)).max(8.0) {
+        self.limit_sample.add(counts * f64::from(late), counts);
+        let min_sample =
+            (LIMIT_SAMPLE_SHARE * self.concurrency_limit.min(self.max_open)).max(MIN_LIMIT_SAMPLE);
+        if self.limit_sample.all >= min_sample {
             self.adjust_concurrency_limit();
         }
     }
@@ -1022,22 +1189,30 @@
     /// steps would be too slow, since a sidecar with little traffic takes a second or two to gather eight
     /// answers.
     fn adjust_concurrency_limit(&mut self) {
-        let (late, all) = std::mem::take(&mut self.limit_sample);
+        let late_share = std::mem::take(&mut self.limit_sample).share();
         let limit_reached = std::mem::take(&mut self.limit_reached);
-        let excess = late / all - MAX_LATE_SHARE;
+        let excess = late_share - MAX_LATE_SHARE;
         if excess > 0.0 {
             // If far pods are late less often, dispatches first move there; the limit is lowered by the least
             // step only.
-            let can_spill = self.near_pods[0] < self.earlier_pods.len()
-                && self.late_share[0] > self.late_share[1] + UNHEALTHY_MARGIN;
-            let cut = if can_spill { 0.07 } else { 0.07 + 0.6 * excess };
-            self.concurrency_limit = (self.concurrency_limit.min(self.max_open + 1.0) * (1.0 - cut)).max(0.3);
-        } else if limit_reached || self.open as f64 > self.concurrency_limit * 0.6 {
+            let can_spill = self.near_pods.earlier < self.earlier_pods.len()
+                && self.late_share.near > self.late_share.far + UNHEALTHY_MARGIN;
+            let cut = if can_spill { MIN_LIMIT_CUT } else { MIN_LIMIT_CUT + LIMIT_CUT_PER_EXCESS * excess };
+            self.concurrency_limit =
+                (self.concurrency_limit.min(self.max_open + 1.0) * (1.0 - cut)).max(MIN_CONCURRENCY_LIMIT);
+        } else if limit_reached || self.is_near_limit() {
+            // `excess` is not positive here: the fewer answers are late, the faster the limit rises.
             self.concurrency_limit = self.concurrency_limit * (1.04 - 0.2 * excess) + 0.2 - excess;
         }
     }
 
-    /// Probability that an answer arrives within `wait`, at the current answer times.
+    /// Whether the open invocations alone use most of the concurrency limit.
+    fn is_near_limit(&self) -> bool {
+        self.open as f64 > self.concurrency_limit * NEAR_LIMIT_SHARE
+    }
+
+    /// Probability that an answer arrives within `wait`, for exponentially distributed answer times with the
+    /// current mean.
     fn answer_probability(&self, op: Op, wait: Tenths) -> f64 {
         let ms = self.latency_baselines[op.0].mean_ms * self.slowdown.max(1.0);
         if ms > 0.0 {
@@ -1056,8 +1231,8 @@
             self.latency_baselines[op.0].mean_ms.max(1.0)
         };
         let density = self.facts.operations[op.0].billed_value / work;
-        self.mean_value_density += (density - self.mean_value_density) * 0.02;
-        (density / self.mean_value_density.max(1e-9)).sqrt().clamp(0.7, 1.3)
+        self.mean_value_density += (density - self.mean_value_density) * VALUE_AVERAGE_STEP;
+        (density / self.mean_value_density.max(1e-9)).sqrt().clamp(MIN_VALUE_FACTOR, MAX_VALUE_FACTOR)
     }
 
     /// Periodic update of all figures that change with time.
@@ -1067,43 +1242,49 @@
         self.ready.append(&mut self.waiting);
         // A sidecar with little traffic uses few pods. If it spread its dispatches over all, it would learn
         // about none of them and open a connection for each dispatch.
-        self.subset_size = self.rate.max(6.0) as usize;
+        self.subset_size = self.rate.max(MIN_SUBSET_SIZE) as usize;
         let uptime = (self.now - self.started_at).as_secs().max(1.0);
-        self.rate += (self.succeeded_since_tick / dt - self.rate) * (dt / 15.0).max(dt / uptime).min(1.0);
+        self.rate +=
+            (self.succeeded_since_tick / dt - self.rate) * (dt / RATE_WINDOW_SECS).max(dt / uptime).min(1.0);
         self.succeeded_since_tick = 0.0;
         self.update_fleet_figures();
         self.trial_share = self.compute_trial_share();
         // Traffic may have moved to this zone, or the zone may have a fault. A sidecar with little traffic
         // cannot see that from the load of pods, only over time from late answers.
-        let gain = self.late_share[0] - self.late_share[1] - self.facts.cross_zone_price - 0.05;
-        self.spill_share = (self.spill_share + 0.5 * gain * dt).clamp(0.0, 0.8);
-        self.late_share[1] *= 1.0 - 0.1 * dt;
+        let gain = self.late_share.near - self.late_share.far - self.facts.cross_zone_price - SPILL_MARGIN;
+        self.spill_share = (self.spill_share + SPILL_GAIN_PER_SEC * gain * dt).clamp(0.0, MAX_SPILL_SHARE);
+        self.late_share.far *= 1.0 - FAR_LATE_SHARE_DECAY_PER_SEC * dt;
         self.update_pod_lateness(dt);
-        // A pod goes on executing what was given up for about as long as an answer takes now.
+        // A pod goes on executing what was given up for about as long as an answer takes now: the estimate
+        // decays with a time constant of twice the longest mean answer time.
         let longest_mean_ms = self.latency_baselines.iter().map(|b| b.mean_ms).fold(50.0, f64::max);
         self.abandoned = self.pods.decay_abandoned((-dt * 500.0 / longest_mean_ms).exp());
-        self.max_open *= 1.0 - 0.15 * dt;
+        self.max_open *= 1.0 - MAX_OPEN_DECAY_PER_SEC * dt;
         self.evaluate_fleet_sample();
         if self.facts.sticky_keys {
-            let share = (0.8 * self.cap()).min(0.9 * self.trial_share);
-            self.trial_key_buckets = if share < 0.8 { self.key_buckets_within(share) } else { KEY_BUCKETS };
-            self.key_bucket_traffic.iter_mut().for_each(|traffic| *traffic *= 0.995);
+            let share = (KEY_SHARE_OF_CAP * self.cap()).min(KEY_SHARE_OF_TRIAL * self.trial_share);
+            self.trial_key_buckets =
+                if share < ALL_KEYS_SHARE { self.key_buckets_within(share) } else { KEY_BUCKETS };
+            self.key_bucket_traffic.iter_mut().for_each(|traffic| *traffic *= KEY_TRAFFIC_DECAY);
         }
     }
 
-    /// Lets the late shares of pods decay, at a pace given by how often this sidecar meets a pod.
+    /// Updates the averaging window of the pods' late shares and lets the shares decay, faster with more
+    /// traffic to each pod.
     fn update_pod_lateness(&mut self, dt: f64) {
         let is_healthy = |p: &&usize| self.pods.late_share[**p] < UNHEALTHY_MARGIN / 2.0;
         let healthy = self.earlier_pods.iter().filter(is_healthy).count();
         self.some_pods_healthy = healthy * 3 >= self.earlier_pods.len();
         // With few answers from each pod the average covers fewer of them; otherwise a fault would be over
         // before it shows.
-        self.late_share_window = (6.0 * self.rate_per_pod).clamp(4.0, 40.0);
+        self.late_share_window =
+            (LATE_WINDOW_SECS * self.rate_per_pod).clamp(MIN_LATE_WINDOW, MAX_LATE_WINDOW);
         let decay = 1.0 - 0.2 * dt * self.rate_per_pod / self.late_share_window;
         self.pods.late_share.iter_mut().for_each(|late_share| *late_share *= decay);
     }
 
-    /// The release under judgement, if its build has enough of the pods to slow the whole fleet.
+    /// The release under judgement, unless it is withdrawn or its build has too few pods to slow the whole
+    /// fleet.
     fn release_affecting_fleet(&self) -> Option<ReleaseState> {
         let pods = (self.earlier_pods.len() + self.trial_pods.len()) as f64;
         let too_few_pods = |r: &ReleaseState| {
--- a/crates/stagepond/src/host.rs
+++ b/crates/stagepond/src/host.rs
@@ -214,7 +214,7 @@
     pub cross_zone_price: f64,
     /// Longest retry-after that a throttled client may be given; zero if none may be given.
     pub max_retry_after: Tenths,
-    /// Largest share of traffic for a build that the platform has not reported yet.
+    /// Largest share of traffic, 0 to 1, for a build that the platform has not reported yet.
     pub initial_cap: f64,
     /// Dispatches to the build on trial that may exceed its cap in any window.
     pub cap_burst: f64,
@@ -228,9 +228,9 @@
     pub votes_advance: bool,
     /// Shortest time in a stage.
     pub min_stage_time: Tenths,
-    /// How long the platform counts a vote.
+    /// How long the platform counts a vote; a vote that still holds is repeated after half of this time.
     pub vote_ttl: Tenths,
-    /// How long to wait for the answer to a vote.
+    /// How long to wait for the answer to a vote before it is repeated.
     pub vote_timeout: Tenths,
     /// Share of wrong answers that clients report.
     pub flag_share: f64,
--- a/crates/stagepond/src/state.rs
+++ b/crates/stagepond/src/state.rs
@@ -1,20 +1,21 @@
-//! State of the balancer. The types here hold data and its bookkeeping; every decision is in `balance`.
+//! State of the balancer. The types here hold data and keep it consistent; every decision is in `balance`.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 
 use crate::host::*;
 
-/// How long a process that is gone keeps its index: longer than any invocation that it served may stay open
-/// and than an objection against it may take to arrive.
+/// How long a process that is gone keeps its index: longer than an invocation that it served can stay open,
+/// and longer than an objection to one of its answers takes to arrive.
 const GONE_POD_RETENTION: Tenths = Tenths::ms(660_000);
 
 /// Multiplier of Fibonacci hashing: 2^64 divided by the golden ratio.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// A level that rises by one with each dispatch and drains at a constant rate.
+/// A leaky bucket: its level rises by one with each dispatch and drains at a rate that the caller applies.
 #[derive(Clone, Copy)]
 pub struct DispatchLevel {
+    /// Dispatches that had not drained at `updated_at`.
     pub level: f64,
     pub updated_at: Tenths,
 }
@@ -24,17 +25,22 @@
 /// `GONE_POD_RETENTION` gives up its index to the next.
 #[derive(Default)]
 pub struct Pods {
+    /// Index of the last process listed under each id.
     pub index: HashMap<PodId, usize>,
     pub id: Vec<PodId>,
     pub kind: Vec<MachineKind>,
     pub zone: Vec<Zone>,
     pub cell: Vec<Cell>,
+    /// Capacity when warm, relative to other pods.
     pub weight: Vec<f64>,
     pub build: Vec<Build>,
+    /// Start of the process.
     pub started_at: Vec<Tenths>,
+    /// Whether it takes dispatches.
     pub available: Vec<bool>,
     /// Whether the list being read, or the last one read, contains it.
     pub listed: Vec<bool>,
+    /// When a list was last read while it was available.
     pub last_available: Vec<Tenths>,
     /// Dispatches of this sidecar in flight.
     pub in_flight: Vec<u32>,
@@ -48,10 +54,11 @@
     pub late_share: Vec<f64>,
     /// Last answer, or the first dispatch after a time with none in flight.
     pub last_answer: Vec<Tenths>,
+    /// End of the backoff after failures.
     pub avoided_until: Vec<Tenths>,
-    /// Consecutive time-outs and connection failures, at most four.
+    /// Consecutive time-outs and connection failures, up to a maximum.
     pub failures_in_row: Vec<u32>,
-    /// Start of the warm-up.
+    /// Start of the warm-up: that of the process, or a later time at which it may have restarted.
     pub cold_since: Vec<Tenths>,
     /// Recent dispatches of this sidecar, to limit those to cold pods.
     pub dispatch_level: Vec<DispatchLevel>,
@@ -125,6 +132,7 @@
         }
     }
 
+    /// Indexes of all pods that take dispatches.
     pub fn all_available(&self) -> impl Iterator<Item = usize> + '_ {
         (0..self.id.len()).filter(|&p| self.available[p])
     }
@@ -191,6 +199,7 @@
 }
 
 impl Invocation {
+    /// Number of its dispatches in flight.
     pub fn in_flight(&self) -> usize {
         self.dispatches.iter().filter(|d| !d.ended).count()
     }
@@ -277,10 +286,19 @@
     pub outcomes: u16,
 }
 
+/// Difference of two [`EvidenceCounts`] of one sender.
+pub struct NewEvidence {
+    /// For each test, crossings of the upper bound minus those of the lower bound.
+    pub net_crossings: [f64; TEST_COUNT],
+    /// Outcomes that the sender has seen of the build.
+    pub outcomes: u32,
+}
+
 /// First byte of a message that carries [`EvidenceCounts`].
 const EVIDENCE_FORMAT: u8 = 1;
 
 impl EvidenceCounts {
+    /// Whether the crossings of all tests are equal.
     pub fn has_same_crossings(&self, other: &EvidenceCounts) -> bool {
         (self.up_crossings, self.down_crossings) == (other.up_crossings, other.down_crossings)
     }
@@ -292,9 +310,8 @@
         std::iter::once(EVIDENCE_FORMAT).chain(numbers.flat_map(u16::to_le_bytes)).collect()
     }
 
-    /// For each test the upper minus the lower crossings, and the number of outcomes, that are new since the
-    /// counts `old` of the same sender.
-    pub fn since(&self, old: &EvidenceCounts) -> ([f64; TEST_COUNT], u32) {
+    /// What is new since the counts `old` of the same sender.
+    pub fn since(&self, old: &EvidenceCounts) -> NewEvidence {
         let same_session = old.session == self.session;
         let growth =
             |new: u16, old: u16| (new.wrapping_sub(if same_session { old } else { 0 }) as i16).max(0);
@@ -304,7 +321,10 @@
                     - growth(self.down_crossings[test], old.down_crossings[test]),
             )
         };
-        (std::array::from_fn(net_crossings), growth(self.outcomes, old.outcomes) as u32)
+        NewEvidence {
+            net_crossings: std::array::from_fn(net_crossings),
+            outcomes: growth(self.outcomes, old.outcomes) as u32,
+        }
     }
 
     /// Inverse of [`encode`](Self::encode); `None` if the format is unknown or the length is wrong.
@@ -359,7 +379,9 @@
 /// Answer times of the earlier build for one operation on one machine kind.
 #[derive(Clone, Default)]
 pub struct LatencyBaseline {
+    /// Number of answers recorded.
     pub answers: u32,
+    /// Moving mean of the answer times.
     pub mean_ms: f64,
     /// Running estimate of a quantile; an answer that takes longer is slow.
     pub slow_threshold_ms: f64,
@@ -367,6 +389,7 @@
     pub slow_share: f64,
     /// `slow_threshold_ms` as it was before the trial.
     pub threshold_before_trial_ms: f64,
+    /// When the last answer was recorded.
     pub updated_at: Tenths,
 }
 
@@ -387,6 +410,46 @@
     }
 }
 
+/// Number of answers with some property, and of all answers.
+#[derive(Clone, Copy, Default)]
+pub struct AnswerSample {
+    pub counted: f64,
+    pub all: f64,
+}
+
+impl AnswerSample {
+    pub fn add(&mut self, counted: f64, all: f64) {
+        self.counted += counted;
+        self.all += all;
+    }
+
+    /// Share of the counted answers; the sample must not be empty.
+    pub fn share(self) -> f64 {
+        self.counted / self.all
+    }
+}
+
+/// A figure for pods in the zone of this sidecar and one for pods in other zones.
+#[derive(Clone, Copy, Default)]
+pub struct NearAndFar {
+    pub near: f64,
+    pub far: f64,
+}
+
+/// Number of pods in the zone of this sidecar.
+#[derive(Clone, Copy, Default)]
+pub struct NearPods {
+    pub earlier: usize,
+    pub trial: usize,
+}
+
+/// Sum of the capacities of all pods, and of those in the zone of this sidecar.
+#[derive(Clone, Copy, Default)]
+pub struct FleetCapacity {
+    pub all: f64,
+    pub near: f64,
+}
+
 /// Share of the earlier build's outcomes of one operation that are failures.
 #[derive(Clone, Default)]
 pub struct FailureBaseline {
@@ -414,33 +477,37 @@
     /// Available pods of the build on trial, those of this zone first.
     pub(crate) trial_pods: Vec<usize>,
     /// How many of `earlier_pods` and of `trial_pods` are in this zone.
-    pub(crate) near_pods: [usize; 2],
+    pub(crate) near_pods: NearPods,
     /// Share of first dispatches that go to the build on trial.
     pub(crate) trial_share: f64,
-    /// Capacity of all pods, and of those in this zone, when last no build was on trial.
-    pub(crate) capacity_before_trial: [f64; 2],
+    /// Capacity of the fleet when there was last no trial pod.
+    pub(crate) capacity_before_trial: FleetCapacity,
+    /// Largest capacity of one pod.
     pub(crate) max_capacity: f64,
     /// How many pods of a set this sidecar draws from.
     pub(crate) subset_size: usize,
+    /// Mean over all pods of `Pods::error_share` and of `Pods::late_share`.
     pub(crate) mean_error_share: f64,
     pub(crate) mean_late_share: f64,
     /// Number of answers over which the late share of a pod is averaged.
     pub(crate) late_share_window: f64,
-    /// At least a third of the earlier pods are not late.
+    /// At least a third of the earlier pods have a low share of late answers.
     pub(crate) some_pods_healthy: bool,
-    /// Moving share of late answers, of pods in this zone and in others.
-    pub(crate) late_share: [f64; 2],
+    /// Moving share of late answers.
+    pub(crate) late_share: NearAndFar,
     /// Share of dispatches that go to another zone though pods of this zone could take them.
     pub(crate) spill_share: f64,
 
     pub(crate) invocations: HashMap<InvId, Invocation>,
-    /// To be placed in this call.
+    /// To be dispatched, held or given up in this call.
     pub(crate) ready: VecDeque<InvId>,
     /// Held until the next tick, as no pod could take them.
     pub(crate) waiting: VecDeque<InvId>,
+    /// When held invocations and dispatches in flight are checked.
     pub(crate) checks: CheckQueue,
     /// When the timer that was set last fires.
     pub(crate) timer_at: Tenths,
+    /// When the periodic update is due.
     pub(crate) next_tick: Tenths,
     /// When this sidecar last found that it had been stalled.
     pub(crate) stalled_at: Tenths,
@@ -452,12 +519,13 @@
     pub(crate) concurrency_limit: f64,
     /// Estimated abandoned dispatches at all pods.
     pub(crate) abandoned: f64,
-    /// Answers since the limit was last adjusted: the late ones, and all.
-    pub(crate) limit_sample: (f64, f64),
+    /// Answers since the limit was last adjusted; the late ones are counted.
+    pub(crate) limit_sample: AnswerSample,
     /// Whether the limit has throttled since it was last adjusted.
     pub(crate) limit_reached: bool,
     /// Current answer time as a multiple of the usual one.
     pub(crate) slowdown: f64,
+    /// Succeeded dispatches since the last tick.
     pub(crate) succeeded_since_tick: f64,
     /// Succeeded dispatches a second.
     pub(crate) rate: f64,
@@ -465,9 +533,10 @@
     pub(crate) rate_per_pod: f64,
     /// Tokens for dispatches that replace a stuck one.
     pub(crate) replacement_tokens: f64,
-    /// Moving average of billed value for work.
+    /// Moving average of the billed value for a unit of work.
     pub(crate) mean_value_density: f64,
 
+    /// The platform's last report.
     pub(crate) release: Option<ReleaseState>,
     /// The build under judgement.
     pub(crate) judged: Option<Build>,
@@ -487,8 +556,9 @@
     pub(crate) earlier_objections: f64,
     /// Answers of the earlier build, plus an initial count.
     pub(crate) earlier_answers: f64,
-    /// Log-likelihood ratios of this sidecar since the last crossing, within the band.
+    /// Log-likelihood ratio of this sidecar in each test since the last crossing, within the band.
     pub(crate) unsent_evidence: [f64; TEST_COUNT],
+    /// Counts of this sidecar.
     pub(crate) own_counts: EvidenceCounts,
     /// Last counts received from each sidecar.
     pub(crate) peer_counts: Vec<EvidenceCounts>,
@@ -496,14 +566,14 @@
     pub(crate) voters: Vec<Peer>,
     /// Rank among the sidecars that may vote; `None` if this sidecar may not.
     pub(crate) voter_rank: Option<usize>,
-    /// Fleet-wide log-likelihood ratios.
+    /// Fleet-wide log-likelihood ratio in each test, within bounds.
     pub(crate) totals: [f64; TEST_COUNT],
-    /// Evidence that is not yet added to `totals`.
+    /// Evidence received in this round, not yet added to `totals`.
     pub(crate) pending_evidence: [f64; TEST_COUNT],
     /// Lowest totals during this stage.
     pub(crate) lowest_totals: [f64; TEST_COUNT],
-    /// Answers in the current second that were slower than before the build came, and all.
-    pub(crate) fleet_sample: (f64, f64),
+    /// Answers since the fleet was last evaluated; those slower than before the trial are counted.
+    pub(crate) fleet_sample: AnswerSample,
     pub(crate) fleet_sampled_at: Tenths,
     /// Share of slow answers before the build came.
     pub(crate) slow_share_before: f64,
@@ -517,12 +587,16 @@
     pub(crate) slow_period: Option<bool>,
     /// No pod of an earlier build is left to compare with.
     pub(crate) no_earlier_pods: bool,
+    /// Since when a total has been above the rollback threshold.
     pub(crate) rollback_proven_since: Option<Tenths>,
+    /// Since when the conditions of a vote to advance have held.
     pub(crate) advance_ready_since: Option<Tenths>,
     pub(crate) ballot: Option<Ballot>,
-    /// Consecutive refused votes, at most five.
+    /// Consecutive refused votes, up to a maximum.
     pub(crate) refused_votes: u32,
+    /// When evidence is next summed and sent if it is new.
     pub(crate) next_broadcast: Tenths,
+    /// Counts sent last, and when.
     pub(crate) broadcast_counts: EvidenceCounts,
     pub(crate) broadcast_at: Tenths,
     /// When evidence of a peer last arrived.
@@ -530,7 +604,7 @@
     /// Outcomes of the build under judgement at all sidecars, as far as is known here.
     pub(crate) known_outcomes: u32,
     /// Half width of the band that the unsent evidence stays in.
-    pub(crate) band: f64,
+    pub(crate) band_half_width: f64,
 }
 
 impl Balancer {
@@ -566,7 +640,7 @@
         self.totals = [0.0; TEST_COUNT];
         self.pending_evidence = [0.0; TEST_COUNT];
         self.lowest_totals = [0.0; TEST_COUNT];
-        self.fleet_sample = (0.0, 0.0);
+        self.fleet_sample = AnswerSample::default();
         self.fleet_slowness = 0.0;
         self.slow_period = None;
         self.peer_counts = vec![EvidenceCounts::default(); self.facts.sidecar_count];
@@ -586,6 +660,8 @@
         self.key_bucket_traffic.iter().take_while(fits).count()
     }
 
+    /// Whether the build is newer than the reported release, or is that release before it is released.
+    /// Without a report: whether it is newer than the build of some available pod.
     pub(crate) fn is_on_trial(&self, build: Build) -> bool {
         match self.release {
             Some(release) => {
@@ -595,7 +671,7 @@
         }
     }
 
-    /// Largest share of traffic for the build under judgement.
+    /// Largest share of traffic for the build under judgement, 0 to 1.
     pub(crate) fn cap(&self) -> f64 {
         self.judged_release().map_or(self.facts.initial_cap, |r| r.cap)
     }
@@ -613,8 +689,10 @@
         self.rate_per_pod = self.rate / pods.min(self.subset_size.max(1) as f64);
         if self.trial_pods.is_empty() {
             let capacity = |set: &[usize]| set.iter().map(|&p| self.capacity(p)).sum::<f64>();
-            self.capacity_before_trial =
-                [capacity(&self.earlier_pods), capacity(&self.earlier_pods[..self.near_pods[0]])];
+            self.capacity_before_trial = FleetCapacity {
+                all: capacity(&self.earlier_pods),
+                near: capacity(&self.earlier_pods[..self.near_pods.earlier]),
+            };
         }
     }
 
@@ -631,13 +709,13 @@
 
     /// Adds what is new in the counts of one sidecar to the pending evidence.
     pub(crate) fn add_counts(&mut self, from: Peer, counts: EvidenceCounts) {
-        let (crossings, outcomes) = counts.since(&self.peer_counts[from.0]);
-        self.known_outcomes += outcomes;
+        let new = counts.since(&self.peer_counts[from.0]);
+        self.known_outcomes += new.outcomes;
         if from != self.facts.own_peer {
             self.peer_heard_at = self.now;
         }
-        for (pending, crossings) in self.pending_evidence.iter_mut().zip(crossings) {
-            *pending += self.band * crossings;
+        for (pending, net_crossings) in self.pending_evidence.iter_mut().zip(new.net_crossings) {
+            *pending += self.band_half_width * net_crossings;
         }
         self.peer_counts[from.0] = counts;
     }
@@ -661,8 +739,9 @@
         let far = |p: &usize| self.pods.zone[*p] != self.facts.zone;
         self.earlier_pods.sort_by_key(|p| (far(p), self.pods.sort_key[*p]));
         self.trial_pods.sort_by_key(|p| (far(p), self.pods.sort_key[*p]));
+        let count_near = |pods: &[usize]| pods.iter().filter(|p| !far(p)).count();
         self.near_pods =
-            [&self.earlier_pods, &self.trial_pods].map(|set| set.iter().filter(|p| !far(p)).count());
+            NearPods { earlier: count_near(&self.earlier_pods), trial: count_near(&self.trial_pods) };
     }
 
     /// Adds an invocation that is to be placed in this call.
