--- a/crates/stagepond-tuf/src/client.rs
+++ b/crates/stagepond-tuf/src/client.rs
@@ -16,18 +16,18 @@
 /// Limits on what a client reads. They stop endless data attacks and unbounded chains of files.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Length of a root file, in bytes.
+    /// Longest root file, in bytes.
     pub root_bytes: u64,
-    /// Length of the timestamp file, in bytes.
+    /// Longest timestamp file, in bytes.
     pub timestamp_bytes: u64,
-    /// Length of a snapshot file, in bytes. A shorter length in the timestamp file takes precedence.
+    /// Longest snapshot file, in bytes. A shorter length in the timestamp file takes precedence.
     pub snapshot_bytes: u64,
-    /// Length of a targets file of any role, in bytes. A shorter length in the snapshot file takes
+    /// Longest targets file of any role, in bytes. A shorter length in the snapshot file takes
     /// precedence.
     pub targets_bytes: u64,
-    /// New root versions accepted in one refresh.
+    /// Most new root versions accepted in one refresh.
     pub max_new_roots: u32,
-    /// Delegated roles visited in one search for a target.
+    /// Most delegated roles visited in one search for a target.
     pub max_delegations: usize,
 }
 
@@ -123,7 +123,7 @@
 pub struct FileRequest {
     /// Path relative to the repository's metadata folder.
     pub path: String,
-    /// The reader may stop after this many bytes and one more: a longer file is refused.
+    /// Longest file that is accepted, in bytes. The caller need not read more than one byte beyond it.
     pub max_bytes: u64,
 }
 
@@ -163,12 +163,20 @@
     },
 }
 
+/// A role to visit in a search, and the role that delegates to it. The top-level role stands for its own
+/// parent.
+#[derive(Clone, Debug)]
+struct RoleVisit {
+    role: RoleName,
+    parent: RoleName,
+}
+
 /// State of a search for a target through the delegations (section 5.6.7).
 #[derive(Clone, Debug)]
 struct Search {
     path: String,
-    /// Roles still to visit as (role, parent), the next one last.
-    pending: Vec<(RoleName, RoleName)>,
+    /// Roles still to visit, the next one last.
+    pending: Vec<RoleVisit>,
     visited: BTreeSet<RoleName>,
 }
 
@@ -204,8 +212,8 @@
     latest_time: UnixSeconds,
     /// Root versions accepted in the current refresh.
     new_root_count: u32,
-    /// How long after its expiry a file is still accepted, in seconds. Zero in a refresh, set by a search.
-    expiry_grace: i64,
+    /// How long after its expiry a file is still accepted. Zero in a refresh, set by a search.
+    expiry_grace_seconds: i64,
     planted: Planted,
 }
 
@@ -241,7 +249,7 @@
             now: UnixSeconds(0),
             latest_time: UnixSeconds(0),
             new_root_count: 0,
-            expiry_grace: 0,
+            expiry_grace_seconds: 0,
             planted,
         };
         // A trusted root is at least signed by the root keys it lists.
@@ -312,7 +320,7 @@
         self.advance_time(now);
         self.search = None;
         self.new_root_count = 0;
-        self.expiry_grace = 0;
+        self.expiry_grace_seconds = 0;
         self.pending = PendingFile::Root;
         self.next_root_request()
     }
@@ -393,7 +401,7 @@
     }
 
     fn check_expiry(&self, role: &str, expires: UnixSeconds) -> Result<(), MetadataError> {
-        if expires.0 + self.expiry_grace <= self.now.0 && !self.planted.has(Fault::ExpiryIgnored) {
+        if expires.0 + self.expiry_grace_seconds <= self.now.0 && !self.planted.has(Fault::ExpiryIgnored) {
             return Err(MetadataError::Expired { role: role.into(), expires });
         }
         Ok(())
@@ -619,18 +627,18 @@
         self.check_all_expiries()
     }
 
-    /// Starts a search for the target at `path` (section 5.6.7). The trusted metadata must not have expired
-    /// more than `grace` seconds before `now`. A caller that allows a grace period has to report it to its
+    /// Starts a search for the target at `path` (section 5.6.7). Metadata is accepted for less than
+    /// `grace_seconds` after its expiry. A caller that allows a grace period has to report its use to its
     /// operators.
     ///
     /// # Errors
     /// [`MetadataError::Expired`], [`MetadataError::NotFound`] if no targets metadata is trusted yet,
     /// [`MetadataError::TargetNotFound`] or [`MetadataError::TooManyDelegations`].
     pub fn find_target(
-        &mut self, now: UnixSeconds, grace: i64, path: &str,
+        &mut self, now: UnixSeconds, grace_seconds: i64, path: &str,
     ) -> Result<Progress, MetadataError> {
         self.advance_time(now);
-        self.expiry_grace = grace;
+        self.expiry_grace_seconds = grace_seconds;
         self.pending = PendingFile::None;
         for (role, _, expires) in self.trusted_roles() {
             self.check_expiry(role, expires)?;
@@ -640,7 +648,7 @@
         }
         self.search = Some(Search {
             path: path.into(),
-            pending: vec![(top_level_targets(), top_level_targets())],
+            pending: vec![RoleVisit { role: top_level_targets(), parent: top_level_targets() }],
             visited: BTreeSet::new(),
         });
         self.continue_search()
@@ -649,7 +657,7 @@
     /// Visits roles in preorder, depth first, until one lists the target or a file is needed.
     fn continue_search(&mut self) -> Result<Progress, MetadataError> {
         let Some(mut search) = self.search.take() else { return Err(MetadataError::NotRequested) };
-        while let Some((role, parent)) = search.pending.pop() {
+        while let Some(RoleVisit { role, parent }) = search.pending.pop() {
             // Already visited: a cycle of delegations, or two paths to one role.
             if search.visited.contains(&role) {
                 continue;
@@ -673,7 +681,7 @@
             for delegation in &delegations.roles {
                 if paths::delegation_covers(delegation, &search.path) || self.planted.has(Fault::PathIgnored)
                 {
-                    matching.push((delegation.name.clone(), role.clone()));
+                    matching.push(RoleVisit { role: delegation.name.clone(), parent: role.clone() });
                     if delegation.terminating {
                         // A terminating delegation ends the search: no later role is visited, neither of this
                         // parent nor of those above it.
@@ -683,7 +691,7 @@
                 }
             }
             if let Some(bins) = &delegations.succinct_roles {
-                matching.push((paths::bin_role(bins, &search.path), role.clone()));
+                matching.push(RoleVisit { role: paths::bin_role(bins, &search.path), parent: role.clone() });
             }
             search.pending.extend(matching.into_iter().rev());
         }
@@ -706,7 +714,7 @@
         };
         let file = self.verify_targets(&role, &delegations.keys, &role_keys, bytes)?;
         if let Some(search) = &mut self.search {
-            search.pending.push((role.clone(), parent.clone()));
+            search.pending.push(RoleVisit { role: role.clone(), parent: parent.clone() });
         }
         self.targets.insert(role, file);
         self.continue_search()
--- a/crates/stagepond-tuf/src/index.rs
+++ b/crates/stagepond-tuf/src/index.rs
@@ -6,13 +6,15 @@
 
 use crate::metadata::Target;
 
-/// A lookup scans half a block on average.
+/// Paths in one block. A larger block takes less memory, but a lookup scans half a block on average.
 const PATHS_PER_BLOCK: usize = 16;
+/// Length of a SHA-256 hash in bytes.
 const SHA256_BYTES: usize = 32;
 
 /// What the index stores of a target: its length in bytes and its SHA-256.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexEntry {
+    /// Length of the target in bytes.
     pub length: u64,
     pub sha256: [u8; SHA256_BYTES],
 }
@@ -30,7 +32,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct TargetIndex {
     bytes: Vec<u8>,
-    /// Offset of each block in `bytes`.
+    /// Offset of each block in `bytes`; it limits them to 4 GiB.
     blocks: Vec<u32>,
     len: usize,
 }
--- a/crates/stagepond-tuf/src/metadata.rs
+++ b/crates/stagepond-tuf/src/metadata.rs
@@ -19,6 +19,9 @@
 /// Name of the top-level targets role.
 pub const TARGETS: &str = "targets";
 
+/// Version of the specification that new files state.
+const SPEC_VERSION: &str = "1.0.33";
+
 /// Longest name of a delegated role, in bytes. The name becomes part of a file name.
 pub const MAX_ROLE_NAME_BYTES: usize = 128;
 /// Most signatures, most keys and most key IDs of one role that a metadata file may list.
@@ -37,7 +40,7 @@
     #[error("_type is {found:?}, expected {expected:?}")]
     Type { found: String, expected: &'static str },
     /// The major version of `spec_version` is not supported.
-    #[error("unsupported spec_version {0:?}, expected 1.x.y")]
+    #[error("unsupported spec_version {0:?}, expected 1.x or 1.x.y")]
     SpecVersion(String),
     /// `expires` is not in the form of section 4.2.1.
     #[error("expires {0:?} is not a UTC time of the form YYYY-MM-DDTHH:MM:SSZ")]
@@ -82,6 +85,7 @@
 /// A signature over the canonical form of a file's signed part; `sig` is hex (section 4.2).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signature {
+    /// The key that signed.
     pub keyid: KeyId,
     pub sig: String,
 }
@@ -110,6 +114,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleKeys {
     pub keyids: Vec<KeyId>,
+    /// Number of distinct keys that must sign, at least 1.
     pub threshold: u32,
 }
 
@@ -129,8 +134,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileDescription {
     pub version: Version,
+    /// Length in bytes; files without it are limited by the client's own limits only.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub length: Option<u64>,
+    /// Hashes in hex, by algorithm name.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub hashes: BTreeMap<String, String>,
 }
@@ -162,6 +169,7 @@
 /// A delegation of the paths that match `paths` or `path_hash_prefixes` to a role (section 4.5).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delegation {
+    /// The role that may list the paths.
     pub name: RoleName,
     pub keyids: Vec<KeyId>,
     pub threshold: u32,
@@ -190,6 +198,7 @@
 /// The delegations of a targets file, in order of priority, and the keys they refer to (section 4.5).
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delegations {
+    /// All keys that the delegated roles use.
     pub keys: BTreeMap<KeyId, Key>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub roles: Vec<Delegation>,
@@ -222,7 +231,10 @@
         return Err(format!("{role}: duplicate key ID"));
     }
     if threshold == 0 || keyids.len() > MAX_KEYS_PER_FILE {
-        return Err(format!("{role}: invalid threshold {threshold} of {} keys", keyids.len()));
+        return Err(format!(
+            "{role}: threshold {threshold} of {} keys, expected at least 1 of at most {MAX_KEYS_PER_FILE}",
+            keyids.len()
+        ));
     }
     Ok(())
 }
@@ -292,7 +304,9 @@
             let first_bin = RoleName(format!("{}-0", bins.name_prefix));
             if !delegations.roles.is_empty() || !(1..=32).contains(&bins.bit_length) || !first_bin.is_valid()
             {
-                return Err("delegations: invalid succinct_roles, or succinct_roles beside roles".into());
+                return Err("delegations: succinct_roles must have a bit_length of 1 to 32 and a valid \
+                            name_prefix, and exclude roles"
+                    .into());
             }
         }
         Ok(())
@@ -449,7 +463,7 @@
     let mut value = serde_json::to_value(content).map_err(|error| FormatError::Json(error.to_string()))?;
     let map = value.as_object_mut().expect("each metadata type is a JSON object");
     map.insert("_type".into(), T::TYPE.into());
-    map.insert("spec_version".into(), "1.0.33".into());
+    map.insert("spec_version".into(), SPEC_VERSION.into());
     map.insert("version".into(), version.0.into());
     map.insert("expires".into(), expires.to_string().into());
     Ok(value)
--- a/crates/stagepond-tuf/src/repository.rs
+++ b/crates/stagepond-tuf/src/repository.rs
@@ -16,8 +16,10 @@
     /// Fewer keys of the role were passed than its threshold requires.
     #[error("{role}: {have} keys available, threshold is {threshold}")]
     NotEnoughKeys { role: String, have: usize, threshold: u32 },
+    /// The content is not valid metadata, or has no canonical form.
     #[error("{0}")]
     Format(#[from] FormatError),
+    /// A key failed to sign.
     #[error("{0}")]
     Signing(#[from] SigningError),
     /// The root does not list this top-level role.
@@ -36,8 +38,13 @@
 
 impl Default for ExpiryPeriods {
     fn default() -> ExpiryPeriods {
-        const DAY: i64 = 86_400;
-        ExpiryPeriods { root: 365 * DAY, targets: 90 * DAY, snapshot: 7 * DAY, timestamp: DAY }
+        const DAY_SECONDS: i64 = 86_400;
+        ExpiryPeriods {
+            root: 365 * DAY_SECONDS,
+            targets: 90 * DAY_SECONDS,
+            snapshot: 7 * DAY_SECONDS,
+            timestamp: DAY_SECONDS,
+        }
     }
 }
 
@@ -59,13 +66,15 @@
     pub delegated: BTreeMap<String, Targets>,
     /// The latest version signed for each role.
     pub versions: BTreeMap<String, Version>,
+    /// How long new files are valid.
     #[serde(rename = "terms")]
     pub expiry_periods: ExpiryPeriods,
 }
 
+/// The public parts of these keys by key ID, and the key IDs in the order given.
 fn public_keys(signing_keys: &[&SigningKey]) -> (BTreeMap<KeyId, Key>, Vec<KeyId>) {
-    let keys = signing_keys.iter().map(|s| (s.id().clone(), s.public_key().clone())).collect();
-    (keys, signing_keys.iter().map(|s| s.id().clone()).collect())
+    let keys = signing_keys.iter().map(|key| (key.id().clone(), key.public_key().clone())).collect();
+    (keys, signing_keys.iter().map(|key| key.id().clone()).collect())
 }
 
 /// Signs the signed part of a file with each key and returns the whole file in canonical form.
@@ -169,7 +178,7 @@
         Ok(MetadataFile { path: format!("{}.root.json", version.0), bytes })
     }
 
-    /// The keys of a role among those passed.
+    /// The keys of a role among those passed; an error if they are fewer than the threshold.
     fn signers<'a>(
         &self, role: &str, keys: &RoleKeys, signing_keys: &[&'a SigningKey],
     ) -> Result<Vec<&'a SigningKey>, RepositoryError> {
