--- a/crates/stagepond-facts/src/lib.rs
+++ b/crates/stagepond-facts/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! The crate is shared by the sidecar and the simulator's adapter: it reads and checks values, takes no
 //! decisions and does not depend on which host calls it. Paths are JSON pointers (RFC 6901). Every error
-//! names the path at fault.
+//! names the path at fault; within `/classes` it is relative to the element.
 
 use anyhow::{anyhow, bail, Result};
 use serde_json::Value;
@@ -85,7 +85,8 @@
     })
 }
 
-/// Reads the settings of a deployment. Paths that are not read here are ignored.
+/// Reads the settings of a deployment. Values whose names end in `_ms` are milliseconds, rounded down to a
+/// tenth. Paths that are not read here are ignored.
 ///
 /// # Errors
 /// If a required value is missing, has the wrong type or is not one of the values expected.
--- a/crates/stagepond-simhost/tests/wire.rs
+++ b/crates/stagepond-simhost/tests/wire.rs
@@ -20,16 +20,16 @@
     child.wait_with_output().unwrap()
 }
 
-/// A batch that starts sidecar 3 and then has these lines.
+/// A batch that starts sidecar 3 and goes on with these lines.
 fn started_batch(lines: &str) -> String {
     format!("BATCH 1000.25\nSTART 3 -7 {SETTINGS}\n{lines}\nGO\n")
 }
 
-/// Lists pod 77 of build 41, which is released.
+/// Events that list pod 77 with build 41 and report that build as released.
 const LIST_OF_ONE_POD: &str = "INVENTORY 0 1\nROW std - 77 a U 0 1 41\nDISCOVERY 3 Persisted 1 0\n\
                     STAGE 3 41 0 1.0 2 0 1 1";
 
-/// The DELIVER lines.
+/// The dispatches (`DELIVER` lines) in the output.
 fn dispatches(output: &Output) -> Vec<String> {
     let text = String::from_utf8(output.stdout.clone()).unwrap();
     text.lines().filter(|l| l.starts_with("DELIVER")).map(str::to_string).collect()
