--- a/crates/stagepond-tuf/src/client.rs
+++ b/crates/stagepond-tuf/src/client.rs
@@ -131,6 +131,7 @@
 /// the trusted versions would accept a rollback.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrustedState {
+    /// The latest trusted root; a client can't start without one.
     pub root: Vec<u8>,
     pub timestamp: Option<Vec<u8>>,
     pub snapshot: Option<Vec<u8>>,
@@ -196,9 +197,13 @@
 pub struct Client {
     root: SignedMetadata<Root>,
     root_bytes: Vec<u8>,
+    /// The trusted timestamp and its bytes as received.
     timestamp: Option<(SignedMetadata<Timestamp>, Vec<u8>)>,
+    /// The trusted snapshot and its bytes as received.
     snapshot: Option<(SignedMetadata<Snapshot>, Vec<u8>)>,
+    /// Trusted targets metadata, of the top-level role and of delegated ones.
     targets: BTreeMap<RoleName, SignedMetadata<Targets>>,
+    /// Bytes of the top-level targets metadata as received.
     targets_bytes: Option<Vec<u8>>,
     floors: VersionFloors,
     limits: Limits,
--- a/crates/stagepond-tuf/src/target.rs
+++ b/crates/stagepond-tuf/src/target.rs
@@ -25,17 +25,25 @@
 pub struct TargetVerifier<'a> {
     target: &'a Target,
     received: u64,
-    /// Algorithm name, running hash and signed hash.
-    hashes: Vec<(&'static str, Context, &'a str)>,
+    hashes: Vec<RunningHash<'a>>,
     planted: Planted,
 }
 
+/// The hash of the bytes received so far, and the signed hash in hex that it must become.
+struct RunningHash<'a> {
+    algorithm: &'static str,
+    received: Context,
+    signed: &'a str,
+}
+
 impl<'a> TargetVerifier<'a> {
     /// Starts the verification of a target. Hashes of unsupported algorithms are ignored.
     pub fn new(target: &'a Target, planted: Planted) -> TargetVerifier<'a> {
         let supported = [("sha256", &SHA256), ("sha512", &SHA512)];
-        let with_signed_hash =
-            |(name, algorithm)| Some((name, Context::new(algorithm), target.hashes.get(name)?.as_str()));
+        let with_signed_hash = |(name, algorithm)| {
+            let signed = target.hashes.get(name)?.as_str();
+            Some(RunningHash { algorithm: name, received: Context::new(algorithm), signed })
+        };
         let hashes = supported.into_iter().filter_map(with_signed_hash).collect();
         TargetVerifier { target, received: 0, hashes, planted }
     }
@@ -49,7 +57,7 @@
         if self.received > self.target.length && !self.planted.has(Fault::TargetUnchecked) {
             return Err(TargetError::TooLong(self.target.length));
         }
-        self.hashes.iter_mut().for_each(|(_, hash, _)| hash.update(bytes));
+        self.hashes.iter_mut().for_each(|hash| hash.received.update(bytes));
         Ok(())
     }
 
@@ -64,9 +72,9 @@
         if self.received < self.target.length {
             return Err(TargetError::TooShort { received: self.received, expected: self.target.length });
         }
-        for (name, hash, signed) in self.hashes {
-            if hex::encode(hash.finish()) != signed.to_ascii_lowercase() {
-                return Err(TargetError::HashMismatch(name));
+        for hash in self.hashes {
+            if hex::encode(hash.received.finish()) != hash.signed.to_ascii_lowercase() {
+                return Err(TargetError::HashMismatch(hash.algorithm));
             }
         }
         Ok(())
--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -142,8 +142,12 @@
 const LATE_WINDOW_SECS: f64 = 6.0;
 const MIN_LATE_WINDOW: f64 = 4.0;
 const MAX_LATE_WINDOW: f64 = 40.0;
+/// Decay of a pod's late share, as a part of the effect that the usual number of answers in time would have.
+const POD_LATE_SHARE_DECAY: f64 = 0.2;
 /// Decay of the late share of far pods, which get few dispatches, in parts per second.
 const FAR_LATE_SHARE_DECAY_PER_SEC: f64 = 0.1;
+/// Least mean answer time, in milliseconds, that is assumed for abandoned dispatches.
+const MIN_ABANDONED_MEAN_MS: f64 = 50.0;
 /// Decay of the recent maximum of open invocations, in parts per second.
 const MAX_OPEN_DECAY_PER_SEC: f64 = 0.15;
 /// Decay of the recent traffic of a key bucket with each tick.
@@ -202,6 +206,8 @@
 /// consecutive failures, which are counted up to `MAX_FAILURES_IN_ROW`.
 const POD_BACKOFF_MS: i64 = 250;
 const MAX_FAILURES_IN_ROW: u32 = 4;
+/// An accepted vote is repeated after this share of the time for which the platform counts it.
+const VOTE_REPEAT_SHARE: f64 = 0.5;
 /// A refused vote is repeated after the vote time-out, doubled for each consecutive refusal up to this
 /// number.
 const MAX_REFUSED_VOTES: u32 = 5;
@@ -232,6 +238,8 @@
 const LIMIT_CUT_PER_EXCESS: f64 = 0.6;
 /// The limit may rise if open invocations use more than this share of it.
 const NEAR_LIMIT_SHARE: f64 = 0.6;
+/// Largest multiple of the usual answer time that a single answer counts with.
+const MAX_SLOWDOWN: f64 = 20.0;
 /// Step size of the moving shares and means that the limit depends on.
 const LOAD_AVERAGE_STEP: f64 = 0.1;
 /// Step size of the moving average of the billed value for work.
@@ -427,13 +435,14 @@
                 if ending == Ending::Succeeded { 0 } else { (self.refused_votes + 1).min(MAX_REFUSED_VOTES) };
             let retry_delay = self.facts.vote_timeout.scale(f64::from(1 << self.refused_votes));
             let settled = matches!(ending, Ending::Succeeded | Ending::Moot);
-            ballot.repeat_at = self.now + if settled { self.facts.vote_ttl.scale(0.5) } else { retry_delay };
+            ballot.repeat_at =
+                self.now + if settled { self.facts.vote_ttl.scale(VOTE_REPEAT_SHARE) } else { retry_delay };
         }
         if ending == Ending::Succeeded {
             if matches!(phase, Phase::GoingBack | Phase::Withdrawn) {
                 self.key_builds.retain(|_, bound| *bound < build);
             }
-            // A lowered cap takes effect at once: tokens from the time of the higher cap are dropped.
+            // A lowered cap takes effect at once: at most one token is kept, and none if the cap is zero.
             if self.release.is_some_and(|r| r.build == build && cap < r.cap) {
                 let limit_tokens = |tokens: &mut f64| *tokens = if cap > 0.0 { tokens.min(1.0) } else { 0.0 };
                 self.trial_tokens.iter_mut().for_each(limit_tokens);
@@ -534,18 +543,19 @@
         let Some(inv) = self.ready.pop_front() else { return false };
         let placeable = |i: &&Invocation| !i.answered && i.in_flight() == 0;
         let Some(invocation) = self.invocations.get(&inv).filter(placeable) else { return true };
-        // The cost of a dispatch that was cancelled at a stuck pod is already spent, and another pod may
-        // still answer in time.
-        let cancelled = invocation.dispatches.last().is_some_and(|d| !d.failed && !d.not_executed);
-        let early = self.now < invocation.hold_until || cancelled;
-        let may_hold = early && invocation.first_possibly_executed().is_none();
+        // The cost of a dispatch that was cancelled at a stuck pod, or timed out there, is already spent, and
+        // another pod may still answer in time.
+        let cancelled_or_timed_out =
+            invocation.dispatches.last().is_some_and(|d| !d.failed && !d.not_executed);
+        let has_time = self.now < invocation.hold_until || cancelled_or_timed_out;
+        let may_hold = has_time && invocation.first_possibly_executed().is_none();
         let within_limits =
             invocation.dispatches.len() < self.facts.max_dispatches && self.now < invocation.until;
         // An invocation that failed twice would fail at a third pod too. Retries of errors that clients cause
         // must not fill the fleet.
         let failures = invocation.dispatches.iter().filter(|d| d.failed).count();
         let may_retry = failures < 2 && self.may_dispatch_again(invocation);
-        let may_dispatch = within_limits && (invocation.dispatches.is_empty() || early && may_retry);
+        let may_dispatch = within_limits && (invocation.dispatches.is_empty() || has_time && may_retry);
         match if may_dispatch { self.choose_pod(&inv) } else { None } {
             Some(pod) => self.dispatch(host, &inv, pod),
             None if may_dispatch && may_hold => self.waiting.push_back(inv),
@@ -1112,8 +1122,7 @@
     }
 
     /// Once a second, compares the fleet with the time before the trial: a build may slow old and new pods
-    /// alike. Throttled invocations count as slow, since the limit would otherwise hide the slowdown. A slow
-    /// second counts by the build's share of the traffic.
+    /// alike. Throttled invocations count as slow, since the limit would otherwise hide the slowdown.
     fn evaluate_fleet_sample(&mut self) {
         let before_trial = self.release_affecting_fleet().is_none();
         if before_trial {
@@ -1140,15 +1149,15 @@
         let usual = self.slow_share_before.max(1.0 - SLOW_QUANTILE);
         // A build that slows the fleet does so in proportion to its traffic: at a quarter of the traffic the
         // increase is half of that at half.
+        // Without earlier pods it counts as half of the traffic, since a rollback would start every pod cold.
         let traffic = if self.no_earlier_pods { 0.5 } else { self.trial_share };
         let min_increase = FLEET_SLOW_INCREASE * (2.0 * traffic).clamp(0.5, 1.0);
         // A bound below the random variation of a few answers would make the sum of many sidecars too small.
         let bound = 1.0 + 2.0 / sample.all.sqrt();
         let excess = ((slow_share - usual - min_increase) / min_increase).clamp(-bound, bound);
-        self.add_evidence(
-            FLEET_TEST,
-            excess * FLEET_EVIDENCE_PER_SEC * seconds * traffic.max((2.0 * traffic).min(0.5)),
-        );
+        // A slow second weighs by the build's share of the traffic, at a quarter as much as at half.
+        let traffic_weight = traffic.max((2.0 * traffic).min(0.5));
+        self.add_evidence(FLEET_TEST, excess * FLEET_EVIDENCE_PER_SEC * seconds * traffic_weight);
     }
 
     /// Samples an answer for the concurrency limit, which follows the share of late answers: a few costly
@@ -1167,7 +1176,7 @@
         let usual_ms = self.latency_baselines[self.baseline_index(p, op)].mean_ms;
         if usual_ms > 0.0 && took > Tenths(0) {
             self.slowdown +=
-                ((took.0 as f64 / 10.0 / usual_ms).min(20.0) - self.slowdown) * LOAD_AVERAGE_STEP;
+                ((took.0 as f64 / 10.0 / usual_ms).min(MAX_SLOWDOWN) - self.slowdown) * LOAD_AVERAGE_STEP;
         }
         let late_share = if self.pods.zone[p] == self.facts.zone {
             &mut self.late_share.near
@@ -1201,7 +1210,8 @@
             self.concurrency_limit =
                 (self.concurrency_limit.min(self.max_open + 1.0) * (1.0 - cut)).max(MIN_CONCURRENCY_LIMIT);
         } else if limit_reached || self.is_near_limit() {
-            // `excess` is not positive here: the fewer answers are late, the faster the limit rises.
+            // The limit rises by 4% and 0.2 invocations, and by more the fewer answers are late (`excess` is
+            // not positive here).
             self.concurrency_limit = self.concurrency_limit * (1.04 - 0.2 * excess) + 0.2 - excess;
         }
     }
@@ -1257,7 +1267,8 @@
         self.update_pod_lateness(dt);
         // A pod goes on executing what was given up for about as long as an answer takes now: the estimate
         // decays with a time constant of twice the longest mean answer time.
-        let longest_mean_ms = self.latency_baselines.iter().map(|b| b.mean_ms).fold(50.0, f64::max);
+        let longest_mean_ms =
+            self.latency_baselines.iter().map(|b| b.mean_ms).fold(MIN_ABANDONED_MEAN_MS, f64::max);
         self.abandoned = self.pods.decay_abandoned((-dt * 500.0 / longest_mean_ms).exp());
         self.max_open *= 1.0 - MAX_OPEN_DECAY_PER_SEC * dt;
         self.evaluate_fleet_sample();
@@ -1279,7 +1290,7 @@
         // before it shows.
         self.late_share_window =
             (LATE_WINDOW_SECS * self.rate_per_pod).clamp(MIN_LATE_WINDOW, MAX_LATE_WINDOW);
-        let decay = 1.0 - 0.2 * dt * self.rate_per_pod / self.late_share_window;
+        let decay = 1.0 - POD_LATE_SHARE_DECAY * dt * self.rate_per_pod / self.late_share_window;
         self.pods.late_share.iter_mut().for_each(|late_share| *late_share *= decay);
     }
 
