--- a/crates/stagepond-lab/src/faults.rs
+++ b/crates/stagepond-lab/src/faults.rs
@@ -3,9 +3,9 @@
 
 use stagepond_leadership::ids::{Seat, Tenths};
 
-/// A fault to inject into a simulation. `lasts` is how long it lasts, `down` the time until a crashed instance
-/// starts again, and `share` a part of all datagrams from 0 to 1. `replay-leadership` prints faults with `{:?}`,
-/// so the names of the variants and fields are part of its output.
+/// A fault to inject into a simulation. `lasts` is how long it lasts, `down` the time until a crashed
+/// instance starts again, and `share` a part of all datagrams from 0 to 1. `replay-leadership` prints faults
+/// with `{:?}`, so the names of the variants and fields are part of its output.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
     /// Ends an instance and starts it again after `down`.
