--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -741,7 +741,7 @@
         let (op, is_first) = (invocation.op, invocation.dispatches.is_empty());
         let tried: Vec<usize> = invocation.dispatches.iter().map(|d| d.pod).collect();
         let Operation { retry_safety, dedup_scope, .. } = self.facts.operations[op.0];
-        let executed_at = invocation
+        let possibly_executed_by = invocation
             .first_possibly_executed()
             .filter(|_| retry_safety == RetrySafety::Fingerprinted)
             .map(|(p, _)| p);
@@ -753,7 +753,7 @@
         };
         let bound_to_trial = min_build.is_some_and(|build| self.is_on_trial(build));
         let eligible = |s: &Self, p: usize| {
-            executed_at.is_none_or(|q| s.pods.share_dedup_scope(dedup_scope, p, q))
+            possibly_executed_by.is_none_or(|q| s.pods.share_dedup_scope(dedup_scope, p, q))
                 && min_build.is_none_or(|build| s.pods.build[p] >= build)
         };
         let to_trial = self.trial_allows(op)
