--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -94,8 +94,8 @@
 
 impl LeadershipController {
     /// Creates the controller for peer `own_peer`. `persisted` is the state stored by an earlier process at
-    /// this seat, if there is any. The start time serves as the incarnation (`Life`), which must be higher
-    /// than that of any earlier process at this seat.
+    /// this seat, if there is any. The start time serves as the [`Life`], which must be higher than that of
+    /// any earlier process at this seat.
     pub fn new(
         now: Tenths, own_peer: Peer, seed: u64, config: &LeadershipConfig, persisted: Option<PersistentState>,
     ) -> LeadershipController {
--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -1318,9 +1318,10 @@
             return false;
         }
         self.ballot = Some(Ballot { build, stage, verdict, repeat_at: self.now + self.facts.vote_timeout });
+        // `erred`, `slow`, `wrong` and `shared` label the totals of the error, latency, wrong-answer and fleet
+        // tests, in that order. Operators read the line by these labels.
         host.log(&format!(
-            "vote {verdict:?} on build {} stage {stage}: error/latency/wrong-answer/fleet tests {:.1?}, \
-             {} outcomes known",
+            "vote {verdict:?} on build {} stage {stage}: erred/slow/wrong/shared {:.1?}, {} outcomes known",
             build.0, self.totals, self.known_outcomes
         ));
         host.vote(build, stage, verdict);
