--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -362,7 +362,7 @@
         let no_further_dispatch =
             !self.may_dispatch_again(&self.invocations[inv]) || nth + 1 >= self.facts.max_dispatches;
         if ending == Ending::Succeeded {
-            failed_pods.iter().for_each(|&p| self.record_error(p, op));
+            failed_pods.iter().for_each(|&failed_pod| self.record_error(failed_pod, op));
         }
         if failed && no_further_dispatch && failed_pods.is_empty() {
             self.record_error(pod, op);
@@ -399,10 +399,10 @@
         weight: f64, started_at: Option<Tenths>, build: Build,
     ) {
         let started_at = started_at.unwrap_or(UNKNOWN_START);
-        let p = self.pods.find_or_add(self.now, pod, kind, zone, cell, started_at, build, self.rng.f64());
-        self.pods.weight[p] = weight.max(MIN_POD_WEIGHT);
-        self.pods.available[p] = availability == Availability::Up;
-        self.pods.listed[p] = true;
+        let index = self.pods.find_or_add(self.now, pod, kind, zone, cell, started_at, build, self.rng.f64());
+        self.pods.weight[index] = weight.max(MIN_POD_WEIGHT);
+        self.pods.available[index] = availability == Availability::Up;
+        self.pods.listed[index] = true;
     }
 
     /// The pod list is complete.
@@ -484,7 +484,7 @@
         // The answers of a pod younger than `MIN_POD_AGE` are no evidence for the build, so that objections
         // to them are none against it.
         let process = self.pods.process_at(pod, self.now - since - MIN_POD_AGE);
-        let build = process.map(|p| self.pods.build[p]);
+        let build = process.map(|index| self.pods.build[index]);
         if build.is_some() && build == self.judged {
             let p0 = self.earlier_objections / self.earlier_answers;
             let p1 = WRONG_ANSWER_SHARE * self.facts.flag_share;
@@ -580,7 +580,7 @@
     /// while no evidence gathers against the build.
     fn vote_to_advance(&mut self, host: &mut dyn Host) -> bool {
         let Some((delay, release)) = self.vote_delay_and_release() else { return false };
-        let newest_start = self.trial_pods.iter().map(|&p| self.pods.started_at[p]).max();
+        let newest_start = self.trial_pods.iter().map(|&pod| self.pods.started_at[pod]).max();
         let pods_ready_at = newest_start
             .filter(|&start| start >= release.stage_started_at)
             .unwrap_or(release.stage_started_at + ADVANCE_WAIT);
@@ -625,7 +625,7 @@
         self.broadcast_at = self.now;
         if self.facts.peer_messages && self.own_counts.outcomes > 0 {
             let payload = self.own_counts.encode(build);
-            for peer in self.voters.iter().filter(|p| **p != self.facts.own_peer) {
+            for peer in self.voters.iter().filter(|peer| **peer != self.facts.own_peer) {
                 host.send_to_peer(Some(*peer), &payload);
             }
         }
@@ -685,22 +685,22 @@
         }
     }
 
-    /// Dispatches to pod `p` and charges its dispatch level and, for a pod on trial, the cap.
-    fn dispatch(&mut self, host: &mut dyn Host, inv: &InvId, p: usize) {
-        let (op, until) = self.record_dispatch(inv, p);
-        let level = self.current_dispatch_level(p) + 1.0;
-        self.pods.dispatch_level[p] = DispatchLevel { level, updated_at: self.now };
-        if self.is_on_trial(self.pods.build[p]) {
+    /// Dispatches to `pod` and charges its dispatch level and, for a pod on trial, the cap.
+    fn dispatch(&mut self, host: &mut dyn Host, inv: &InvId, pod: usize) {
+        let (op, until) = self.record_dispatch(inv, pod);
+        let level = self.current_dispatch_level(pod) + 1.0;
+        self.pods.dispatch_level[pod] = DispatchLevel { level, updated_at: self.now };
+        if self.is_on_trial(self.pods.build[pod]) {
             let bucket = self.token_bucket(op);
             self.trial_tokens[bucket] -= 1.0;
         }
-        host.dispatch(inv, self.pods.id[p], until);
+        host.dispatch(inv, self.pods.id[pod], until);
     }
 
     /// Determines the build under judgement and divides the available pods into earlier ones and those on
     /// trial.
     fn classify_pods(&mut self) {
-        let newest_build = self.pods.all_available().map(|p| self.pods.build[p]).max();
+        let newest_build = self.pods.all_available().map(|pod| self.pods.build[pod]).max();
         // A released build is judged only if it was judged during its trial.
         let is_judged = |build: &Build| self.is_on_trial(*build) || self.judged == Some(*build);
         let judged = newest_build.max(self.release.map(|r| r.build)).filter(is_judged);
@@ -709,15 +709,15 @@
             self.reset_evidence();
         }
         let (trial, earlier): (Vec<usize>, Vec<usize>) =
-            self.pods.all_available().partition(|&p| self.is_on_trial(self.pods.build[p]));
-        self.trial_pods = trial.into_iter().filter(|&p| Some(self.pods.build[p]) == judged).collect();
+            self.pods.all_available().partition(|&pod| self.is_on_trial(self.pods.build[pod]));
+        self.trial_pods = trial.into_iter().filter(|&pod| Some(self.pods.build[pod]) == judged).collect();
         self.earlier_pods = earlier;
-        self.no_earlier_pods = self.pods.all_available().all(|p| Some(self.pods.build[p]) >= judged);
+        self.no_earlier_pods = self.pods.all_available().all(|pod| Some(self.pods.build[pod]) >= judged);
         // Once the newest released build has half of the earlier pods, pods of older builds get no further
         // dispatches.
-        let newest_released = self.earlier_pods.iter().map(|&p| self.pods.build[p]).max();
-        let is_newest = |p: &usize| Some(self.pods.build[*p]) == newest_released;
-        if self.earlier_pods.iter().filter(|p| is_newest(p)).count() * 2 >= self.earlier_pods.len() {
+        let newest_released = self.earlier_pods.iter().map(|&pod| self.pods.build[pod]).max();
+        let is_newest = |pod: &usize| Some(self.pods.build[*pod]) == newest_released;
+        if self.earlier_pods.iter().filter(|pod| is_newest(pod)).count() * 2 >= self.earlier_pods.len() {
             self.earlier_pods.retain(is_newest);
         }
         self.sort_near_pods_first();
@@ -744,7 +744,7 @@
         let possibly_executed_by = invocation
             .first_possibly_executed()
             .filter(|_| retry_safety == RetrySafety::Fingerprinted)
-            .map(|(p, _)| p);
+            .map(|(pod, _)| pod);
         let sticky_key = invocation.key.filter(|_| self.facts.sticky_keys);
         let min_build = sticky_key.and_then(|key| self.key_builds.get(&key).copied());
         let drawn_for_trial = match sticky_key {
@@ -752,9 +752,10 @@
             None => self.rng.f64() < self.trial_share,
         };
         let bound_to_trial = min_build.is_some_and(|build| self.is_on_trial(build));
-        let eligible = |s: &Self, p: usize| {
-            possibly_executed_by.is_none_or(|q| s.pods.share_dedup_scope(dedup_scope, p, q))
-                && min_build.is_none_or(|build| s.pods.build[p] >= build)
+        let eligible = |balancer: &Self, pod: usize| {
+            possibly_executed_by
+                .is_none_or(|executor| balancer.pods.share_dedup_scope(dedup_scope, pod, executor))
+                && min_build.is_none_or(|build| balancer.pods.build[pod] >= build)
         };
         let to_trial = self.trial_allows(op)
             && (bound_to_trial || is_first && drawn_for_trial || self.earlier_pods.is_empty());
@@ -773,11 +774,12 @@
     /// lesser counts: a zone with few trial pods would overload them and find the build slow. A zone without
     /// trial pods uses the share for all.
     fn compute_trial_share(&self) -> f64 {
-        let capacity = |set: &[usize]| set.iter().map(|&p| self.capacity(p)).sum::<f64>();
+        let capacity = |set: &[usize]| set.iter().map(|&pod| self.capacity(pod)).sum::<f64>();
         let share = |earlier: &[usize], trial: &[usize], capacity_before: f64| {
             // Pods that are too cold to take a dispatch do not count; their share would fall on the warm
             // trial pods.
-            let usable = trial.iter().filter(|&&p| self.can_take(p)).map(|&p| self.capacity(p)).sum::<f64>();
+            let usable =
+                trial.iter().filter(|&&pod| self.can_take(pod)).map(|&pod| self.capacity(pod)).sum::<f64>();
             // Near its limit the fleet is loaded evenly, as a little more load would make any build late
             // there.
             let even = capacity_before == 0.0 || self.late_share.near > MAX_LATE_SHARE / 2.0;
@@ -800,11 +802,15 @@
         let far = self.choose_of_two(trial, false, tried, eligible);
         let margin = CROSS_ZONE_LOAD_MARGIN * self.facts.cross_zone_price;
         match (near, far) {
-            (Some(n), Some(f)) if self.load(f) <= self.load(n) && self.rng.f64() < self.spill_share => {
-                Some(f)
+            (Some(near), Some(far))
+                if self.load(far) <= self.load(near) && self.rng.f64() < self.spill_share =>
+            {
+                Some(far)
             }
-            (Some(n), Some(f)) if self.load(n) > (1.0 + margin) * self.load(f) + margin => Some(f),
-            (n, f) => n.or(f),
+            (Some(near), Some(far)) if self.load(near) > (1.0 + margin) * self.load(far) + margin => {
+                Some(far)
+            }
+            (near, far) => near.or(far),
         }
     }
 
@@ -823,20 +829,22 @@
         let (near_pods, far_pods) = set.split_at(near_count);
         let all = if near { near_pods } else { far_pods };
         let subset = &all[..self.subset_size.min(all.len())];
-        let usable = |s: &Self, p: usize| eligible(s, p) && s.can_take(p);
-        let healthy = |s: &Self, p: usize| {
-            let answering = s.now >= s.pods.avoided_until[p] && !s.is_stuck(p);
-            let few_errors = s.pods.error_share[p] <= s.mean_error_share + UNHEALTHY_MARGIN;
-            let few_late = s.pods.late_share[p] <= s.mean_late_share + UNHEALTHY_MARGIN;
-            answering && few_errors && few_late && !tried.contains(&p) && usable(s, p)
+        let usable = |balancer: &Self, pod: usize| eligible(balancer, pod) && balancer.can_take(pod);
+        let healthy = |balancer: &Self, pod: usize| {
+            let answering = balancer.now >= balancer.pods.avoided_until[pod] && !balancer.is_stuck(pod);
+            let few_errors = balancer.pods.error_share[pod] <= balancer.mean_error_share + UNHEALTHY_MARGIN;
+            let few_late = balancer.pods.late_share[pod] <= balancer.mean_late_share + UNHEALTHY_MARGIN;
+            answering && few_errors && few_late && !tried.contains(&pod) && usable(balancer, pod)
         };
         let (mut best, mut found) = (None, 0);
         for _ in 0..if subset.is_empty() { 0 } else { MAX_POD_DRAWS } {
-            let p = subset[rng.usize(0..subset.len())];
+            let pod = subset[rng.usize(0..subset.len())];
             // Drawn in proportion to capacity: with nothing in flight the pod of larger capacity always looks
             // less loaded.
-            if found < 2 && rng.f64() * self.max_capacity < self.capacity(p) && healthy(self, p) {
-                best = best.filter(|&b| self.relative_queue(b) <= self.relative_queue(p)).or(Some(p));
+            if found < 2 && rng.f64() * self.max_capacity < self.capacity(pod) && healthy(self, pod) {
+                best = best
+                    .filter(|&current| self.relative_queue(current) <= self.relative_queue(pod))
+                    .or(Some(pod));
                 found += 1;
             }
         }
@@ -844,36 +852,36 @@
             let (head, tail) = all.split_at(rng.usize(0..all.len().max(1)));
             let from_random_start = || tail.iter().chain(head).copied();
             best = from_random_start()
-                .find(|&p| healthy(self, p))
-                .or_else(|| from_random_start().find(|&p| usable(self, p)));
+                .find(|&pod| healthy(self, pod))
+                .or_else(|| from_random_start().find(|&pod| usable(self, pod)));
         }
         self.rng = rng;
         best
     }
 
     /// Queue of the pod with one more dispatch, relative to its capacity.
-    fn load(&self, p: usize) -> f64 {
-        self.relative_queue(p) + 1.0 / self.capacity(p)
+    fn load(&self, pod: usize) -> f64 {
+        self.relative_queue(pod) + 1.0 / self.capacity(pod)
     }
 
     /// Estimated dispatches in flight at the pod, of all sidecars, relative to its capacity.
-    fn relative_queue(&self, p: usize) -> f64 {
+    fn relative_queue(&self, pod: usize) -> f64 {
         // A report loses weight with age; otherwise a pod once found busy, and avoided since, would never be
         // found idle again.
-        let age = (self.now - self.pods.last_answer[p]).as_secs().max(0.0);
-        let elsewhere = self.pods.in_flight_elsewhere[p] / (1.0 + REPORT_DECAY_PER_SEC * age);
-        (self.pods.in_flight[p] as f64 + self.pods.abandoned[p] + elsewhere) / self.capacity(p)
+        let age = (self.now - self.pods.last_answer[pod]).as_secs().max(0.0);
+        let elsewhere = self.pods.in_flight_elsewhere[pod] / (1.0 + REPORT_DECAY_PER_SEC * age);
+        (self.pods.in_flight[pod] as f64 + self.pods.abandoned[pod] + elsewhere) / self.capacity(pod)
     }
 
     /// Dispatches a second that this sidecar may send to the pod while it is cold.
-    fn cold_dispatch_rate(&self, p: usize) -> f64 {
-        COLD_RATE_SHARE * self.facts.overload_multiple * self.warm_share(p) * self.rate_per_pod
+    fn cold_dispatch_rate(&self, pod: usize) -> f64 {
+        COLD_RATE_SHARE * self.facts.overload_multiple * self.warm_share(pod) * self.rate_per_pod
     }
 
     /// Dispatch level of the pod, drained up to now.
-    fn current_dispatch_level(&self, p: usize) -> f64 {
-        let DispatchLevel { level, updated_at } = self.pods.dispatch_level[p];
-        (level - self.cold_dispatch_rate(p) * (self.now - updated_at).as_secs()).max(0.0)
+    fn current_dispatch_level(&self, pod: usize) -> f64 {
+        let DispatchLevel { level, updated_at } = self.pods.dispatch_level[pod];
+        (level - self.cold_dispatch_rate(pod) * (self.now - updated_at).as_secs()).max(0.0)
     }
 
     /// Whether the pod is warm, or has room for a dispatch while cold. A cold pod looks idle to all sidecars,
@@ -881,18 +889,18 @@
     /// answers well; bursts and errors do not raise that rate. If the part is less than one dispatch, the
     /// random level drawn in `on_pod` decides who sends the first one and when, since hundreds of single
     /// dispatches would be a burst too.
-    fn can_take(&self, p: usize) -> bool {
-        self.warm_share(p) >= 1.0
-            || self.current_dispatch_level(p) <= COLD_DRAIN_SECS * self.cold_dispatch_rate(p)
+    fn can_take(&self, pod: usize) -> bool {
+        self.warm_share(pod) >= 1.0
+            || self.current_dispatch_level(pod) <= COLD_DRAIN_SECS * self.cold_dispatch_rate(pod)
     }
 
     /// Whether the pod has several dispatches in flight and has not answered for much longer than usual.
-    fn is_stuck(&self, p: usize) -> bool {
+    fn is_stuck(&self, pod: usize) -> bool {
         let longest_mean_ms = self.latency_baselines.iter().map(|b| b.mean_ms).fold(0.0, f64::max);
         let max_silence = Tenths::floor_ms(
             (longest_mean_ms * STUCK_AFTER_MEANS).clamp(MIN_STUCK_AFTER_MS, MAX_STUCK_AFTER_MS),
         );
-        self.pods.in_flight[p] >= 2 && self.now - self.pods.last_answer[p] > max_silence
+        self.pods.in_flight[pod] >= 2 && self.now - self.pods.last_answer[pod] > max_silence
     }
 
     /// After so long an answer to this operation is late.
@@ -902,61 +910,62 @@
 
     /// Updates the health of a pod by the ending of a dispatch sent at `sent_at`.
     fn record_pod_outcome(
-        &mut self, p: usize, sent_at: Tenths, ending: Ending, in_flight: Option<f64>, late: bool,
+        &mut self, pod: usize, sent_at: Tenths, ending: Ending, in_flight: Option<f64>, late: bool,
     ) {
-        self.pods.in_flight[p] = self.pods.in_flight[p].saturating_sub(1);
-        self.pods.abandoned[p] += f64::from(matches!(ending, Ending::TimedOut | Ending::Cancelled));
+        self.pods.in_flight[pod] = self.pods.in_flight[pod].saturating_sub(1);
+        self.pods.abandoned[pod] += f64::from(matches!(ending, Ending::TimedOut | Ending::Cancelled));
         if let Some(reported) = in_flight {
-            let elsewhere = (reported - self.pods.in_flight[p] as f64).max(0.0);
-            let change = elsewhere - self.pods.in_flight_elsewhere[p];
-            self.pods.in_flight_elsewhere[p] += change * REPORT_STEP;
+            let elsewhere = (reported - self.pods.in_flight[pod] as f64).max(0.0);
+            let change = elsewhere - self.pods.in_flight_elsewhere[pod];
+            self.pods.in_flight_elsewhere[pod] += change * REPORT_STEP;
         }
         // A pod may be late for this sidecar only. If no other pods are healthy, the whole fleet is full, and
         // the answer says nothing about the pod.
         if matches!(ending, Ending::Succeeded | Ending::TimedOut) && !self.has_just_stalled() {
             let late_alone = f64::from(late && self.some_pods_healthy);
-            self.pods.late_share[p] += (late_alone - self.pods.late_share[p]) / self.late_share_window;
+            self.pods.late_share[pod] += (late_alone - self.pods.late_share[pod]) / self.late_share_window;
         }
         match ending {
             Ending::Succeeded | Ending::Error => {
-                self.pods.failures_in_row[p] = 0;
-                self.pods.last_answer[p] = self.now;
-                self.pods.error_share[p] *= if ending == Ending::Error {
+                self.pods.failures_in_row[pod] = 0;
+                self.pods.last_answer[pod] = self.now;
+                self.pods.error_share[pod] *= if ending == Ending::Error {
                     1.0
                 } else {
                     (ERROR_SHARE_WINDOW - 1.0) / ERROR_SHARE_WINDOW
                 };
             }
-            Ending::TimedOut if self.pods.last_answer[p] > sent_at || !late => {}
+            Ending::TimedOut if self.pods.last_answer[pod] > sent_at || !late => {}
             Ending::TimedOut | Ending::NoConnection | Ending::Reset => {
                 // A single connection may break at any time. After a second failure the process may have
                 // died, and would come back cold.
-                let repeated = self.pods.failures_in_row[p] > 0;
+                let repeated = self.pods.failures_in_row[pod] > 0;
                 if repeated && ending != Ending::TimedOut {
-                    self.pods.cold_since[p] = self.now;
-                    self.pods.dispatch_level[p] =
+                    self.pods.cold_since[pod] = self.now;
+                    self.pods.dispatch_level[pod] =
                         DispatchLevel { level: self.rng.f64(), updated_at: self.now };
                 }
-                self.pods.failures_in_row[p] = (self.pods.failures_in_row[p] + 1).min(MAX_FAILURES_IN_ROW);
+                self.pods.failures_in_row[pod] =
+                    (self.pods.failures_in_row[pod] + 1).min(MAX_FAILURES_IN_ROW);
                 let avoid = repeated || ending == Ending::TimedOut;
-                let backoff_ms = i64::from(avoid) * (POD_BACKOFF_MS << self.pods.failures_in_row[p]);
-                self.pods.avoided_until[p] = self.now + Tenths::ms(backoff_ms);
+                let backoff_ms = i64::from(avoid) * (POD_BACKOFF_MS << self.pods.failures_in_row[pod]);
+                self.pods.avoided_until[pod] = self.now + Tenths::ms(backoff_ms);
             }
             _ => {}
         }
     }
 
     /// Counts an error against the pod and its build.
-    fn record_error(&mut self, p: usize, op: Op) {
-        self.pods.error_share[p] += (1.0 - self.pods.error_share[p]) / ERROR_SHARE_WINDOW;
-        self.record_evidence(p, op, Tenths(0), Ending::Error);
+    fn record_error(&mut self, pod: usize, op: Op) {
+        self.pods.error_share[pod] += (1.0 - self.pods.error_share[pod]) / ERROR_SHARE_WINDOW;
+        self.record_evidence(pod, op, Tenths(0), Ending::Error);
     }
 
     /// Uses an outcome as evidence: for or against the build under judgement, or for the baselines of the
     /// earlier one.
-    fn record_evidence(&mut self, p: usize, op: Op, took: Tenths, ending: Ending) {
-        let (ms, age) = (took.0 as f64 / 10.0, self.now - self.pods.started_at[p]);
-        let is_judged = Some(self.pods.build[p]) == self.judged;
+    fn record_evidence(&mut self, pod: usize, op: Op, took: Tenths, ending: Ending) {
+        let (ms, age) = (took.0 as f64 / 10.0, self.now - self.pods.started_at[pod]);
+        let is_judged = Some(self.pods.build[pod]) == self.judged;
         let counts = matches!(ending, Ending::Succeeded | Ending::Error | Ending::TimedOut);
         // A dispatch cancelled at a pod that looked stuck is slow; otherwise a build that never answers would
         // never be found slow.
@@ -970,7 +979,7 @@
         let timed_out = ending == Ending::TimedOut;
         let failed = ending == Ending::Error;
         let below_full_cap = self.cap() < 1.0;
-        let index = self.baseline_index(p, op);
+        let index = self.baseline_index(pod, op);
         let baseline = &self.latency_baselines[index];
         // During the trial the earlier pods have less load than before and answer faster, so the threshold
         // from before the trial counts if it is higher.
@@ -991,7 +1000,7 @@
             self.fleet_sample.add(slower, 1.0);
         }
         if is_judged {
-            self.judge_outcome(p, op, age, slow, failed, cancelled);
+            self.judge_outcome(pod, op, age, slow, failed, cancelled);
         } else if age >= self.facts.warmup_time {
             self.failure_baselines[op.0].record(failed, FAILURE_WINDOW);
             if !failed {
@@ -1004,7 +1013,7 @@
     }
 
     /// Adds an outcome of the build under judgement to the error, latency and wrong-answer tests.
-    fn judge_outcome(&mut self, p: usize, op: Op, age: Tenths, slow: bool, failed: bool, cancelled: bool) {
+    fn judge_outcome(&mut self, pod: usize, op: Op, age: Tenths, slow: bool, failed: bool, cancelled: bool) {
         self.own_counts.outcomes = self.own_counts.outcomes.saturating_add(1);
         let released = self.is_released();
         // What begins long after a release is not caused by the build, and no earlier pod is left to compare
@@ -1017,7 +1026,7 @@
             if excused || cancelled { 0.0 } else { log_likelihood_ratio(failed, p0, p0 + FAILURE_INCREASE) };
         // A slow build cannot be told from a slow period if the earlier build has not answered recently, has
         // hardly any load left, or the fleet is near its limit.
-        let baseline = &self.latency_baselines[self.baseline_index(p, op)];
+        let baseline = &self.latency_baselines[self.baseline_index(pod, op)];
         let comparable = self.cap() < 1.0
             && self.late_share.near < MAX_LATE_SHARE / 2.0
             && self.now < baseline.updated_at + STALE_AFTER;
@@ -1043,21 +1052,21 @@
     fn errors_are_excused(&self, released: bool) -> bool {
         let error_share = &self.pods.error_share;
         let own_pods = if released { &self.earlier_pods } else { &self.trial_pods };
-        let pods_with_errors = |min: f64| own_pods.iter().filter(|p| error_share[**p] > min).count();
+        let pods_with_errors = |min: f64| own_pods.iter().filter(|pod| error_share[**pod] > min).count();
         let earlier_pods_fail =
-            !released && self.earlier_pods.iter().any(|&p| error_share[p] > UNHEALTHY_MARGIN);
+            !released && self.earlier_pods.iter().any(|&pod| error_share[pod] > UNHEALTHY_MARGIN);
         // A sidecar with little traffic has had answers from a few pods only, and by chance one failing pod
         // more may be among them.
         let answered =
-            own_pods.iter().filter(|p| self.pods.last_answer[**p] > self.pods.started_at[**p]).count();
+            own_pods.iter().filter(|pod| self.pods.last_answer[**pod] > self.pods.started_at[**pod]).count();
         let max_failing = answered / 4 + usize::from(answered < own_pods.len());
         earlier_pods_fail && pods_with_errors(UNHEALTHY_MARGIN) <= answered.max(2) / 2
             || pods_with_errors(RECENT_ERROR_SHARE) <= max_failing
     }
 
-    /// Index into `latency_baselines` for the machine kind of pod `p`.
-    fn baseline_index(&self, p: usize, op: Op) -> usize {
-        self.pods.kind[p].0 * self.facts.operations.len() + op.0
+    /// Index into `latency_baselines` for the machine kind of `pod`.
+    fn baseline_index(&self, pod: usize, op: Op) -> usize {
+        self.pods.kind[pod].0 * self.facts.operations.len() + op.0
     }
 
     /// Adds evidence of this sidecar to a test and counts each crossing of the band as one bit. An
@@ -1103,8 +1112,9 @@
         // else slowed it.
         let detectable_since = self.now - SLOW_PERIOD_DETECTION_TIME;
         let had_time_to_slow = |r: ReleaseState| {
-            self.trial_pods.iter().any(|&p| {
-                r.stage_started_at <= self.pods.started_at[p] && self.pods.started_at[p] <= detectable_since
+            self.trial_pods.iter().any(|&pod| {
+                r.stage_started_at <= self.pods.started_at[pod]
+                    && self.pods.started_at[pod] <= detectable_since
             })
         };
         let began_soon_after_start = |r: ReleaseState| {
@@ -1163,7 +1173,7 @@
     /// Samples an answer for the concurrency limit, which follows the share of late answers: a few costly
     /// operations are late on an idle fleet too. `wait` is how long the client would have waited from the
     /// dispatch on.
-    fn sample_for_limit(&mut self, p: usize, op: Op, took: Tenths, wait: Tenths, ending: Ending) {
+    fn sample_for_limit(&mut self, pod: usize, op: Op, took: Tenths, wait: Tenths, ending: Ending) {
         let late_after = self.late_after(op);
         let late = match ending {
             _ if self.has_just_stalled() => return,
@@ -1173,12 +1183,12 @@
             Ending::TimedOut | Ending::Full | Ending::NoConnection => true,
             _ => return,
         };
-        let usual_ms = self.latency_baselines[self.baseline_index(p, op)].mean_ms;
+        let usual_ms = self.latency_baselines[self.baseline_index(pod, op)].mean_ms;
         if usual_ms > 0.0 && took > Tenths(0) {
             self.slowdown +=
                 ((took.0 as f64 / 10.0 / usual_ms).min(MAX_SLOWDOWN) - self.slowdown) * LOAD_AVERAGE_STEP;
         }
-        let late_share = if self.pods.zone[p] == self.facts.zone {
+        let late_share = if self.pods.zone[pod] == self.facts.zone {
             &mut self.late_share.near
         } else {
             &mut self.late_share.far
@@ -1283,7 +1293,7 @@
     /// Updates the averaging window of the pods' late shares and lets the shares decay, faster with more
     /// traffic to each pod.
     fn update_pod_lateness(&mut self, dt: f64) {
-        let is_healthy = |p: &&usize| self.pods.late_share[**p] < UNHEALTHY_MARGIN / 2.0;
+        let is_healthy = |pod: &&usize| self.pods.late_share[**pod] < UNHEALTHY_MARGIN / 2.0;
         let healthy = self.earlier_pods.iter().filter(is_healthy).count();
         self.some_pods_healthy = healthy * 3 >= self.earlier_pods.len();
         // With few answers from each pod the average covers fewer of them; otherwise a fault would be over
--- a/crates/stagepond/src/state.rs
+++ b/crates/stagepond/src/state.rs
@@ -80,42 +80,44 @@
             }
             self.available[old] = false;
         }
-        let p = self.take_unused_index(now).unwrap_or(self.id.len());
-        self.index.insert(id, p);
-        set_or_push(&mut self.id, p, id);
-        set_or_push(&mut self.kind, p, kind);
-        set_or_push(&mut self.zone, p, zone);
-        set_or_push(&mut self.cell, p, cell);
-        set_or_push(&mut self.weight, p, 1.0);
-        set_or_push(&mut self.build, p, build);
-        set_or_push(&mut self.started_at, p, started_at);
-        set_or_push(&mut self.available, p, false);
-        set_or_push(&mut self.listed, p, true);
-        set_or_push(&mut self.last_available, p, now);
-        set_or_push(&mut self.in_flight, p, 0);
-        set_or_push(&mut self.abandoned, p, 0.0);
-        set_or_push(&mut self.in_flight_elsewhere, p, 0.0);
-        set_or_push(&mut self.error_share, p, 0.0);
-        set_or_push(&mut self.late_share, p, 0.0);
-        set_or_push(&mut self.last_answer, p, started_at);
-        set_or_push(&mut self.avoided_until, p, Tenths(0));
-        set_or_push(&mut self.failures_in_row, p, 0);
-        set_or_push(&mut self.cold_since, p, started_at);
-        set_or_push(&mut self.dispatch_level, p, DispatchLevel { level: random, updated_at: started_at });
-        set_or_push(&mut self.sort_key, p, random.to_bits().wrapping_mul(HASH_MULTIPLIER));
-        p
+        let index = self.take_unused_index(now).unwrap_or(self.id.len());
+        self.index.insert(id, index);
+        set_or_push(&mut self.id, index, id);
+        set_or_push(&mut self.kind, index, kind);
+        set_or_push(&mut self.zone, index, zone);
+        set_or_push(&mut self.cell, index, cell);
+        set_or_push(&mut self.weight, index, 1.0);
+        set_or_push(&mut self.build, index, build);
+        set_or_push(&mut self.started_at, index, started_at);
+        set_or_push(&mut self.available, index, false);
+        set_or_push(&mut self.listed, index, true);
+        set_or_push(&mut self.last_available, index, now);
+        set_or_push(&mut self.in_flight, index, 0);
+        set_or_push(&mut self.abandoned, index, 0.0);
+        set_or_push(&mut self.in_flight_elsewhere, index, 0.0);
+        set_or_push(&mut self.error_share, index, 0.0);
+        set_or_push(&mut self.late_share, index, 0.0);
+        set_or_push(&mut self.last_answer, index, started_at);
+        set_or_push(&mut self.avoided_until, index, Tenths(0));
+        set_or_push(&mut self.failures_in_row, index, 0);
+        set_or_push(&mut self.cold_since, index, started_at);
+        set_or_push(&mut self.dispatch_level, index, DispatchLevel { level: random, updated_at: started_at });
+        set_or_push(&mut self.sort_key, index, random.to_bits().wrapping_mul(HASH_MULTIPLIER));
+        index
     }
 
     /// Frees the index of a process that has been gone for `GONE_POD_RETENTION` and has nothing in flight.
     fn take_unused_index(&mut self, now: Tenths) -> Option<usize> {
-        let unused = |&p: &usize| {
-            !self.available[p] && self.in_flight[p] == 0 && now > self.last_available[p] + GONE_POD_RETENTION
+        let unused = |&index: &usize| {
+            !self.available[index]
+                && self.in_flight[index] == 0
+                && now > self.last_available[index] + GONE_POD_RETENTION
         };
-        let p = (0..self.id.len()).find(unused)?;
-        if self.index.get(&self.id[p]) == Some(&p) {
-            self.index.remove(&self.id[p]);
+        let index = (0..self.id.len()).find(unused)?;
+        if self.index.get(&self.id[index]) == Some(&index) {
+            self.index.remove(&self.id[index]);
         }
-        Some(p)
+        Some(index)
     }
 
     /// Multiplies the abandoned dispatches of each pod by `factor` and returns their sum over all pods.
@@ -126,35 +128,35 @@
 
     /// Marks the pods that the list did not contain as unavailable.
     pub fn retire_unlisted(&mut self, now: Tenths) {
-        for p in 0..self.id.len() {
-            self.last_available[p] = if self.available[p] { now } else { self.last_available[p] };
-            self.available[p] &= self.listed[p];
+        for pod in 0..self.id.len() {
+            self.last_available[pod] = if self.available[pod] { now } else { self.last_available[pod] };
+            self.available[pod] &= self.listed[pod];
         }
     }
 
     /// Indexes of all pods that take dispatches.
     pub fn all_available(&self) -> impl Iterator<Item = usize> + '_ {
-        (0..self.id.len()).filter(|&p| self.available[p])
+        (0..self.id.len()).filter(|&pod| self.available[pod])
     }
 
-    /// Whether pods `p` and `q` recognise each other's fingerprints.
-    pub fn share_dedup_scope(&self, scope: DedupScope, p: usize, q: usize) -> bool {
+    /// Whether two pods recognise each other's fingerprints.
+    pub fn share_dedup_scope(&self, scope: DedupScope, pod: usize, other: usize) -> bool {
         match scope {
             DedupScope::All => true,
-            DedupScope::Zone => self.zone[p] == self.zone[q],
-            DedupScope::Cell => self.cell[p] == self.cell[q],
+            DedupScope::Zone => self.zone[pod] == self.zone[other],
+            DedupScope::Cell => self.cell[pod] == self.cell[other],
         }
     }
 
     /// The process that had this id at that time.
     pub fn process_at(&self, id: PodId, time: Tenths) -> Option<usize> {
-        let had_id = |&p: &usize| self.id[p] == id && self.started_at[p] <= time;
-        (0..self.id.len()).filter(had_id).max_by_key(|&p| self.started_at[p])
+        let had_id = |&pod: &usize| self.id[pod] == id && self.started_at[pod] <= time;
+        (0..self.id.len()).filter(had_id).max_by_key(|&pod| self.started_at[pod])
     }
 }
 
-fn set_or_push<T>(array: &mut Vec<T>, p: usize, value: T) {
-    match array.get_mut(p) {
+fn set_or_push<T>(array: &mut Vec<T>, index: usize, value: T) {
+    match array.get_mut(index) {
         Some(slot) => *slot = value,
         None => array.push(value),
     }
@@ -667,7 +669,7 @@
             Some(release) => {
                 build > release.build || (build == release.build && release.phase != Phase::Released)
             }
-            None => self.pods.all_available().any(|p| build > self.pods.build[p]),
+            None => self.pods.all_available().any(|pod| build > self.pods.build[pod]),
         }
     }
 
@@ -680,15 +682,15 @@
     pub(crate) fn update_fleet_figures(&mut self) {
         let pods = (self.earlier_pods.len() + self.trial_pods.len()).max(1) as f64;
         let all = || self.earlier_pods.iter().chain(&self.trial_pods);
-        let error_shares = all().map(|&p| self.pods.error_share[p]).sum::<f64>();
-        let max_capacity = all().map(|&p| self.capacity(p)).fold(0.0, f64::max);
-        let late_shares = all().map(|&p| self.pods.late_share[p]).sum::<f64>();
+        let error_shares = all().map(|&pod| self.pods.error_share[pod]).sum::<f64>();
+        let max_capacity = all().map(|&pod| self.capacity(pod)).fold(0.0, f64::max);
+        let late_shares = all().map(|&pod| self.pods.late_share[pod]).sum::<f64>();
         self.mean_error_share = error_shares / pods;
         self.mean_late_share = late_shares / pods;
         self.max_capacity = max_capacity;
         self.rate_per_pod = self.rate / pods.min(self.subset_size.max(1) as f64);
         if self.trial_pods.is_empty() {
-            let capacity = |set: &[usize]| set.iter().map(|&p| self.capacity(p)).sum::<f64>();
+            let capacity = |set: &[usize]| set.iter().map(|&pod| self.capacity(pod)).sum::<f64>();
             self.capacity_before_trial = FleetCapacity {
                 all: capacity(&self.earlier_pods),
                 near: capacity(&self.earlier_pods[..self.near_pods.earlier]),
@@ -697,13 +699,13 @@
     }
 
     /// Weight of the pod, reduced while it is cold.
-    pub(crate) fn capacity(&self, p: usize) -> f64 {
-        self.pods.weight[p] * self.warm_share(p)
+    pub(crate) fn capacity(&self, pod: usize) -> f64 {
+        self.pods.weight[pod] * self.warm_share(pod)
     }
 
     /// Capacity of the pod as a share of its capacity when warm.
-    pub(crate) fn warm_share(&self, p: usize) -> f64 {
-        let age = (self.now - self.pods.cold_since[p]).0 as f64 / self.facts.warmup_time.0.max(1) as f64;
+    pub(crate) fn warm_share(&self, pod: usize) -> f64 {
+        let age = (self.now - self.pods.cold_since[pod]).0 as f64 / self.facts.warmup_time.0.max(1) as f64;
         (self.facts.cold_capacity_share + (1.0 - self.facts.cold_capacity_share) * age.max(0.0)).min(1.0)
     }
 
@@ -736,10 +738,10 @@
 
     /// Sorts the pods of this zone first, each zone by the sort key, and counts them.
     pub(crate) fn sort_near_pods_first(&mut self) {
-        let far = |p: &usize| self.pods.zone[*p] != self.facts.zone;
-        self.earlier_pods.sort_by_key(|p| (far(p), self.pods.sort_key[*p]));
-        self.trial_pods.sort_by_key(|p| (far(p), self.pods.sort_key[*p]));
-        let count_near = |pods: &[usize]| pods.iter().filter(|p| !far(p)).count();
+        let far = |pod: &usize| self.pods.zone[*pod] != self.facts.zone;
+        self.earlier_pods.sort_by_key(|pod| (far(pod), self.pods.sort_key[*pod]));
+        self.trial_pods.sort_by_key(|pod| (far(pod), self.pods.sort_key[*pod]));
+        let count_near = |pods: &[usize]| pods.iter().filter(|pod| !far(pod)).count();
         self.near_pods =
             NearPods { earlier: count_near(&self.earlier_pods), trial: count_near(&self.trial_pods) };
     }
@@ -765,15 +767,14 @@
         }
     }
 
-    /// Records a dispatch of `inv` to pod `p`; returns the operation and the time limit of the invocation.
-    pub(crate) fn record_dispatch(&mut self, inv: &InvId, p: usize) -> (Op, Tenths) {
-        if self.pods.in_flight[p] == 0 {
-            self.pods.last_answer[p] = self.now;
+    /// Records a dispatch of `inv` to `pod`; returns the operation and the time limit of the invocation.
+    pub(crate) fn record_dispatch(&mut self, inv: &InvId, pod: usize) -> (Op, Tenths) {
+        if self.pods.in_flight[pod] == 0 {
+            self.pods.last_answer[pod] = self.now;
         }
-        self.pods.in_flight[p] += 1;
+        self.pods.in_flight[pod] += 1;
         let invocation = self.invocations.get_mut(inv).expect("a pod is chosen for open invocations only");
-        let dispatch =
-            Dispatch { pod: p, sent_at: self.now, ended: false, not_executed: false, failed: false };
+        let dispatch = Dispatch { pod, sent_at: self.now, ended: false, not_executed: false, failed: false };
         invocation.dispatches.push(dispatch);
         (invocation.op, invocation.until)
     }
@@ -808,8 +809,8 @@
     impl Pods {
         fn list_only(&mut self, id: u32, now: Tenths) {
             self.listed.iter_mut().for_each(|listed| *listed = false);
-            let p = self.find_or_add(now, PodId(id), MachineKind(0), Zone(0), Cell(0), now, Build(1), 0.5);
-            (self.available[p], self.listed[p]) = (true, true);
+            let pod = self.find_or_add(now, PodId(id), MachineKind(0), Zone(0), Cell(0), now, Build(1), 0.5);
+            (self.available[pod], self.listed[pod]) = (true, true);
             self.retire_unlisted(now);
         }
     }
