--- a/crates/stagepond-lab/src/faults.rs
+++ b/crates/stagepond-lab/src/faults.rs
@@ -47,7 +47,9 @@
 /// A fault and the true time, not that of any local clock, at which it begins.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScheduledFault {
+    /// When the fault begins.
     pub at: Tenths,
+    /// The fault to inject.
     pub fault: Fault,
 }
 
--- a/crates/stagepond-lab/src/leadership/measure.rs
+++ b/crates/stagepond-lab/src/leadership/measure.rs
@@ -37,7 +37,9 @@
 pub struct FailoverTime {
     /// Runs with a leader to disrupt and a new one after it.
     pub runs: usize,
+    /// Median over the runs.
     pub median: Tenths,
+    /// Maximum over the runs.
     pub max: Tenths,
     /// The time that the protocol allows for: the hold time and three round trips (pre-vote, vote, first
     /// entry of the term).
@@ -105,6 +107,7 @@
 /// How fast, how accurate and how costly failure detection is.
 #[derive(Clone, Debug)]
 pub struct DetectionResult {
+    /// Number of members in the group.
     pub members: u16,
     /// The share of datagrams that were lost.
     pub loss: f64,
--- a/crates/stagepond-lab/src/leadership/simulation.rs
+++ b/crates/stagepond-lab/src/leadership/simulation.rs
@@ -74,6 +74,7 @@
 /// Everything that determines a run.
 #[derive(Clone, Debug)]
 pub struct SimulationConfig {
+    /// Seeds the network, the commands and the instances.
     pub seed: u64,
     /// The settings of every instance.
     pub settings: Settings,
--- a/crates/stagepond-lab/src/tuf/attacks.rs
+++ b/crates/stagepond-lab/src/tuf/attacks.rs
@@ -35,11 +35,15 @@
 
 /// The signing keys of every role, drawn from a seed.
 pub struct RoleKeys {
+    /// Keys of the root role in its first version.
     pub root: [SigningKey; 3],
     /// Keys of the root role from its second version on.
     pub next_root: [SigningKey; 3],
+    /// Keys of the top-level targets role.
     pub targets: [SigningKey; 3],
+    /// Key of the snapshot role.
     pub snapshot: SigningKey,
+    /// Key of the timestamp role.
     pub timestamp: SigningKey,
     /// Key of the delegated role `venue`.
     pub venue: SigningKey,
@@ -75,7 +79,9 @@
 /// A repository with three releases, half a day apart. The third release comes with a second root, which
 /// replaces all root keys.
 pub struct TestRepository {
+    /// The signing keys, including one that no role lists.
     pub keys: RoleKeys,
+    /// The repository after the last release.
     pub repository: Repository,
     /// All files that a client can fetch after each release, targets included.
     pub releases: Vec<Files>,
@@ -406,6 +412,7 @@
 
 /// A mirror that serves the last release, honestly or after attacks on it.
 pub struct Mirror<'a> {
+    /// The honest repository behind the mirror.
     pub repository: &'a TestRepository,
     /// The files as they are served.
     pub files: Files,
--- a/crates/stagepond-lab/src/tuf/measure.rs
+++ b/crates/stagepond-lab/src/tuf/measure.rs
@@ -79,7 +79,9 @@
 /// Time to verify a target and time to copy the same bytes, both in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct VerificationTime {
+    /// Time to hash the target and compare it.
     pub verify_ms: f64,
+    /// Time to copy the same bytes.
     pub copy_ms: f64,
 }
 
--- a/crates/stagepond-lab/src/tuf/sockets.rs
+++ b/crates/stagepond-lab/src/tuf/sockets.rs
@@ -217,6 +217,7 @@
 /// What the attacks on the program showed.
 #[derive(Clone, Debug, Default)]
 pub struct SocketReport {
+    /// Attacks carried out.
     pub attacks: usize,
     /// Attacks that were refused with the expected error.
     pub refused: usize,
--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -98,7 +98,9 @@
 /// A summary of an instance's state for operators and monitoring.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Status {
+    /// The seat of this instance.
     pub seat: Seat,
+    /// The life of this instance's process.
     pub life: Life,
     /// The current Raft term.
     pub term: Term,
@@ -114,7 +116,9 @@
     pub voters_changing: bool,
     /// Members by health; `dead` includes those that left.
     pub alive: usize,
+    /// Members under suspicion.
     pub suspect: usize,
+    /// Members that are dead or have left.
     pub dead: usize,
     /// Datagrams dropped since the start, by reason.
     pub dropped: BTreeMap<DropReason, u64>,
--- a/crates/stagepond-leadership/src/log.rs
+++ b/crates/stagepond-leadership/src/log.rs
@@ -96,8 +96,11 @@
 /// The key of a command in the state machine: a later command with the same key replaces the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Subject {
+    /// The vote on one stage of a build.
     Vote { build: u16, stage: u32 },
+    /// The traffic share of a build.
     Widen { build: u16 },
+    /// Whether the traffic share of a build is frozen.
     Freeze { build: u16 },
 }
 
--- a/crates/stagepond-leadership/src/seal.rs
+++ b/crates/stagepond-leadership/src/seal.rs
@@ -161,6 +161,7 @@
     /// Whether it is addressed to this very process. If not, it may be a replay of an old datagram, and only
     /// `Hello` and `Welcome` may be acted on.
     pub to_me: bool,
+    /// The encoded message.
     pub body: &'a [u8],
 }
 
--- a/crates/stagepond-leadership/src/wire.rs
+++ b/crates/stagepond-leadership/src/wire.rs
@@ -29,20 +29,26 @@
 /// that announced its shutdown. A later variant overrides an earlier one of the same incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Health {
+    /// Not suspected by anyone, as far as is known.
     Alive,
+    /// Did not answer a probe and has not refuted that yet.
     Suspect,
+    /// Did not refute the suspicion in time.
     Dead,
+    /// Announced that it shuts down.
     Left,
 }
 
 /// The state of one member, as one instance knows it and passes it on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberState {
+    /// The seat of the member.
     pub seat: Seat,
     /// The process at the seat.
     pub life: Life,
     /// SWIM's incarnation number, which the member raises to refute a suspicion.
     pub incarnation: u32,
+    /// The health of the member in this life and incarnation.
     pub health: Health,
     /// For a suspected member: the instance whose probe it did not answer. Instances that only pass the state
     /// on do not count as a confirmation of the suspicion. For other members it has no meaning.
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -42,6 +42,7 @@
 /// The parts of an invocation that are forwarded to a pod unchanged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ForwardedRequest {
+    /// GET for an idempotent operation, POST for any other.
     pub method: Method,
     /// Path and query.
     pub target: PathAndQuery,
--- a/crates/stagepond-tuf/src/client.rs
+++ b/crates/stagepond-tuf/src/client.rs
@@ -133,8 +133,11 @@
 pub struct TrustedState {
     /// The latest trusted root; a client can't start without one.
     pub root: Vec<u8>,
+    /// The latest trusted timestamp file; `None` before the first update.
     pub timestamp: Option<Vec<u8>>,
+    /// The latest trusted snapshot file.
     pub snapshot: Option<Vec<u8>>,
+    /// The latest trusted targets file of the top-level role.
     pub targets: Option<Vec<u8>>,
 }
 
@@ -142,9 +145,13 @@
 /// without a disk against rollback attacks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionFloors {
+    /// Minimum version of the root.
     pub root: Version,
+    /// Minimum version of the timestamp.
     pub timestamp: Version,
+    /// Minimum version of the snapshot.
     pub snapshot: Version,
+    /// Minimum version of the top-level targets metadata.
     pub targets: Version,
 }
 
--- a/crates/stagepond-tuf/src/index.rs
+++ b/crates/stagepond-tuf/src/index.rs
@@ -16,6 +16,7 @@
 pub struct IndexEntry {
     /// Length of the target in bytes.
     pub length: u64,
+    /// SHA-256 of the target, in binary form.
     pub sha256: [u8; SHA256_BYTES],
 }
 
--- a/crates/stagepond-tuf/src/metadata.rs
+++ b/crates/stagepond-tuf/src/metadata.rs
@@ -87,12 +87,14 @@
 pub struct Signature {
     /// The key that signed.
     pub keyid: KeyId,
+    /// The signature in hex.
     pub sig: String,
 }
 
 /// The public part of a key: hex for Ed25519, PEM for ECDSA and RSA (section 4.2).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeyValue {
+    /// The public key: 32 bytes in hex for Ed25519, otherwise PEM.
     pub public: String,
 }
 
@@ -105,7 +107,9 @@
     pub keytype: String,
     /// The signature scheme, such as `ecdsa-sha2-nistp256`.
     pub scheme: String,
+    /// The public part of the key.
     pub keyval: KeyValue,
+    /// Fields that this implementation does not know.
     #[serde(flatten)]
     pub other: BTreeMap<String, Value>,
 }
@@ -113,6 +117,7 @@
 /// The keys of a role and how many of them must sign its files (section 4.3).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleKeys {
+    /// The IDs of the keys that may sign for the role.
     pub keyids: Vec<KeyId>,
     /// Number of distinct keys that must sign, at least 1.
     pub threshold: u32,
@@ -133,6 +138,7 @@
 /// (sections 4.4 and 4.6).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileDescription {
+    /// The version that the file must have.
     pub version: Version,
     /// Length in bytes; files without it are limited by the client's own limits only.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -160,8 +166,11 @@
 /// data of the application (section 4.5).
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
+    /// Length in bytes.
     pub length: u64,
+    /// Hashes in lower-case hex, by algorithm name.
     pub hashes: BTreeMap<String, String>,
+    /// Data of the application, not interpreted here.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub custom: Option<Value>,
 }
@@ -171,7 +180,9 @@
 pub struct Delegation {
     /// The role that may list the paths.
     pub name: RoleName,
+    /// The IDs of the keys that may sign for the role.
     pub keyids: Vec<KeyId>,
+    /// Number of distinct keys that must sign, at least 1.
     pub threshold: u32,
     /// Whether a search for a matching path ignores all delegations after this one.
     pub terminating: bool,
@@ -187,7 +198,9 @@
 /// share keys and threshold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SuccinctRoles {
+    /// The IDs of the keys that may sign for every bin.
     pub keyids: Vec<KeyId>,
+    /// Number of distinct keys that must sign, at least 1.
     pub threshold: u32,
     /// Binary logarithm of the number of bins, 1 to 32.
     pub bit_length: u32,
@@ -200,6 +213,7 @@
 pub struct Delegations {
     /// All keys that the delegated roles use.
     pub keys: BTreeMap<KeyId, Key>,
+    /// The delegated roles, highest priority first.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub roles: Vec<Delegation>,
     /// Hashed bins in short form; excludes `roles`.
@@ -212,6 +226,7 @@
 pub struct Targets {
     /// The targets by path.
     pub targets: BTreeMap<String, Target>,
+    /// The roles that this role delegates to.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub delegations: Option<Delegations>,
 }
@@ -317,10 +332,13 @@
 /// The signatures have not been verified.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SignedMetadata<T> {
+    /// The fields of the signed part that depend on the type.
     pub signed: T,
+    /// The version of the file; it grows with each publication.
     pub version: Version,
     /// The file is valid before this time, not at it.
     pub expires: UnixSeconds,
+    /// The signatures as listed, not verified.
     pub signatures: Vec<Signature>,
     /// The canonical form of the signed part: the bytes that the signatures cover. It includes unknown
     /// fields.
--- a/crates/stagepond-tuf/src/repository.rs
+++ b/crates/stagepond-tuf/src/repository.rs
@@ -30,9 +30,13 @@
 /// How long the files of each role are valid after signing, in seconds. Delegated roles use `targets`.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct ExpiryPeriods {
+    /// Validity of root files.
     pub root: i64,
+    /// Validity of targets files of all roles.
     pub targets: i64,
+    /// Validity of snapshot files.
     pub snapshot: i64,
+    /// Validity of timestamp files.
     pub timestamp: i64,
 }
 
@@ -51,7 +55,9 @@
 /// A signed file to write at `path` in the metadata folder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetadataFile {
+    /// Path relative to the metadata folder.
     pub path: String,
+    /// The signed file as it is to be written.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/stagepond-tuf/src/uptane.rs
+++ b/crates/stagepond-tuf/src/uptane.rs
@@ -25,8 +25,11 @@
 /// The ECU to verify an image for, and the release counter of its installed image.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ecu {
+    /// Identifier by which the director assigns targets.
     pub id: EcuId,
+    /// The type of hardware that an image must fit.
     pub hardware_id: HardwareId,
+    /// Release counter of the installed image; an image with a lower one is refused.
     pub release_counter: u64,
 }
 
@@ -124,6 +127,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ImageCustom {
+    /// The hardware that the image fits; empty for any.
     #[serde(default)]
     pub hardware_ids: Vec<HardwareId>,
     /// As in [`DirectorCustom`].
@@ -302,7 +306,9 @@
 pub struct AssignedTarget {
     /// Version of the targets metadata that assigns it; the trusted version for the next verification.
     pub version: Version,
+    /// Path of the assigned target.
     pub path: String,
+    /// Length, hashes and custom data of the assigned target.
     pub target: Target,
 }
 
@@ -340,14 +346,18 @@
 /// the requests that it answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TimeAttestation {
+    /// The attested time in RFC 3339.
     pub time: String,
+    /// Nonces of the requests that the attestation answers.
     pub nonces: Vec<u64>,
 }
 
 /// Content with the signature of one key over its canonical form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Signed<T> {
+    /// The content that `signature` covers.
     pub signed: T,
+    /// The signature over the content's canonical form.
     pub signature: Signature,
 }
 
@@ -415,6 +425,7 @@
 /// ECU version report: the installed image and the attacks that the ECU detected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EcuVersionReport {
+    /// The ECU that reports.
     #[serde(rename = "device")]
     pub ecu_id: EcuId,
     /// Path of the installed target.
