--- a/crates/stagepond-lab/src/clock.rs
+++ b/crates/stagepond-lab/src/clock.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Pending events, ordered by due time; events due at the same time come out in insertion order.
+/// Pending events, ordered by due time; events due at the same time are returned in insertion order.
 pub struct EventQueue<E> {
     now: Tenths,
     last_sequence: u64,
--- a/crates/stagepond-lab/src/leadership/model.rs
+++ b/crates/stagepond-lab/src/leadership/model.rs
@@ -1,7 +1,7 @@
 //! Model check of the Raft node with stateright: every order of deliveries, losses, duplicates, steps of time
 //! and restarts without memory, to a given depth, from a group of three that was just bootstrapped.
 //!
-//! All nodes share one clock, which moves by half a hold time. Clock drift and finer times are left to the
+//! All nodes share one clock, which moves by half a hold time. Clock drift and finer times are covered by the
 //! simulation. The properties are checked on the states themselves.
 
 use std::hash::{Hash, Hasher};
--- a/crates/stagepond-lab/src/leadership/processes.rs
+++ b/crates/stagepond-lab/src/leadership/processes.rs
@@ -2,8 +2,8 @@
 //! traffic, a relay between them that drops datagrams as scripted, pauses by signal, and kills. What the
 //! processes did is read from their structured logs and audited afterwards.
 //!
-//! Signals go only to processes started here. The script waits for events in the logs and not for a span of
-//! time wherever an event tells enough.
+//! Signals go only to processes started here. The script waits for events in the logs, and for a span of
+//! time only where no event shows what it needs to know.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
 /// The faults of the relay's links.
 #[derive(Default)]
 struct LinkFaults {
-    /// Links that carry nothing: from, to.
+    /// Cut links, as (sender, receiver).
     cut: BTreeSet<(usize, usize)>,
     /// The share of datagrams that are lost.
     loss: f64,
@@ -318,7 +318,7 @@
     pub released: bool,
     /// For each fault of the script: its name, and the ms from the fault to the next leader.
     pub failover_ms: Vec<(&'static str, u64)>,
-    /// What the audit found, in words.
+    /// Violations that the audit found, one line each.
     pub violations: Vec<String>,
 }
 
--- a/crates/stagepond-lab/src/leadership/simulation.rs
+++ b/crates/stagepond-lab/src/leadership/simulation.rs
@@ -340,7 +340,7 @@
         }
         let term = |node: &Node| node.instance.as_ref().map_or(0, |i| i.raft().term().number_in_era());
         let terms = self.nodes.iter().map(term).max().unwrap_or(0);
-        // A few lost elections are chance; a new term at every time-out is not.
+        // A few elections may fail by chance; a new term at every time-out is a fault.
         let allowed = 8 + 2 * self.invariants.leaders + self.faults_injected;
         if terms > allowed {
             self.invariants.violations.push(Violation::TermsRanAway { terms, allowed });
@@ -660,7 +660,7 @@
                 self.trace.add_number(entry.number.0 as i64);
                 self.invariants.on_committed(now, seat, entry.number.0, entry_digest(&entry));
                 if let (Some(lease), true) = (lease, entry.command.subject().is_some()) {
-                    // Up to a quarter longer than a lease may be used, so that some actions come too late.
+                    // Up to a quarter longer than a lease may be used, so that some actions are too late.
                     let latest = self.config.settings.max_grant_time.0 * 5 / 4;
                     let delay = Tenths(self.rng.i64(0..latest));
                     let stepped = self.nodes[usize::from(seat.0)].clock_steps;
--- a/crates/stagepond-lab/src/net.rs
+++ b/crates/stagepond-lab/src/net.rs
@@ -1,5 +1,5 @@
 //! A simulated datagram network with delay, packet loss, duplication, and links cut in one or both
-//! directions. All chance comes from the random generator that the caller passes in; the contents of
+//! directions. All randomness comes from the generator that the caller passes in; the contents of
 //! datagrams are not read.
 
 use std::collections::BTreeSet;
--- a/crates/stagepond-lab/src/tuf/attacks.rs
+++ b/crates/stagepond-lab/src/tuf/attacks.rs
@@ -449,7 +449,7 @@
         format!("{newest}{suffix}")
     }
 
-    /// Changes the signed portion of a file and signs it anew.
+    /// Changes the signed portion of a file and signs it again.
     fn edit_signed(&mut self, path: &str, signers: &[&SigningKey], change: impl FnOnce(&mut Value)) {
         if let Some(mut signed) = self.signed_portion(path) {
             change(&mut signed);
--- a/crates/stagepond-lab/tests/leadership.rs
+++ b/crates/stagepond-lab/tests/leadership.rs
@@ -147,7 +147,7 @@
     assert_eq!(simulation.invariants.violations, []);
 }
 
-/// Each seed once violated an invariant; the commit that fixed it tells which one and why.
+/// Each seed once violated an invariant; the commit that fixed it says which one and why.
 #[rstest]
 #[case::memory_identity_guessed_from_a_datagram(1_002_240)]
 #[case::eras_started_over(1_000_010)]
--- a/crates/stagepond-leadership/src/instance.rs
+++ b/crates/stagepond-leadership/src/instance.rs
@@ -17,7 +17,7 @@
 use crate::settings::Settings;
 use crate::wire::{Gossip, Health, Message};
 
-/// What the host tells an instance.
+/// An input from the host to an instance.
 #[derive(Clone, Debug)]
 pub enum Input<'a> {
     /// A datagram from another instance, as received.
--- a/crates/stagepond-leadership/src/members.rs
+++ b/crates/stagepond-leadership/src/members.rs
@@ -2,9 +2,8 @@
 //!
 //! This is SWIM (Das, Gupta and Motivala 2002) with three refinements of Lifeguard (Dadgar, Phillips and
 //! Currey 2017): a suspicion times out sooner when other members confirm it, probes wait longer while this
-//! instance itself seems slow, and a suspected member is
-//! informed of the suspicion first. The load of each member does not
-//! depend on how many there are.
+//! instance itself seems slow, and a suspected member is informed of the suspicion first. The load of each
+//! member does not depend on how many there are.
 //!
 //! The module only reports what is known of each seat. Voters and leaders are chosen in [`crate::raft`].
 
@@ -98,7 +97,7 @@
     rng: fastrand::Rng,
     /// The other members by seat; `None` if nothing is known.
     members: Vec<Option<Member>>,
-    /// The seats still to be probed in this round. Each seat comes once in a round, in random order (SWIM,
+    /// The seats still to be probed in this round. Each seat is probed once in a round, in random order (SWIM,
     /// section 4.3).
     round: VecDeque<Seat>,
     probe: Option<Probe>,
@@ -121,7 +120,7 @@
     pub fn new(
         now: Tenths, seat: Seat, life: Life, memory: Memory, settings: &Settings, seed: u64,
     ) -> Members {
-        // Memory(0) stands for a memory that was created with the process.
+        // Memory(0) denotes a memory that was created with the process.
         let memory = if memory.0 == life.0 { Memory(0) } else { memory };
         let me = MemberState {
             seat,
@@ -499,7 +498,7 @@
         self.apply(now, state);
     }
 
-    /// Another member takes this process for suspected or gone: raises the incarnation to refute that.
+    /// Another member reports this process as suspected or dead: raises the incarnation to refute that.
     fn refute(&mut self, state: MemberState) {
         let about_this_process = state.life == self.me.life && state.health != Health::Alive;
         if about_this_process && !self.leaving && state.incarnation >= self.me.incarnation {
--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -163,7 +163,7 @@
     initiator: Life,
 }
 
-/// The acknowledgement of an era that is owed to its leader.
+/// The acknowledgement of an era, sent to its leader until the era begins.
 #[derive(Clone, Copy, Debug, Hash)]
 struct BootstrapAck {
     era: Era,
--- a/crates/stagepond-leadership/src/wire.rs
+++ b/crates/stagepond-leadership/src/wire.rs
@@ -60,7 +60,7 @@
     pub memory: Option<Memory>,
 }
 
-/// What every probe and acknowledgement carries besides.
+/// Member states and the commit position that every probe and acknowledgement carries.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Gossip {
     /// At most [`MAX_GOSSIP_MEMBERS`] member states.
--- a/crates/stagepond-sidecar/src/frontend.rs
+++ b/crates/stagepond-sidecar/src/frontend.rs
@@ -1,7 +1,7 @@
 //! The HTTP frontend: accepts client connections and turns each HTTP request into an invocation for the
 //! reducer.
 //!
-//! It runs axum on connections that this module accepts itself, because it has to go on accepting while the
+//! It runs axum on connections that this module accepts itself, because it has to keep accepting while the
 //! program shuts down. It owns the client connections and the answers that are still pending on them. Once it
 //! has reported an invocation to the reducer, only the reducer decides the answer.
 
@@ -101,7 +101,7 @@
     signals: Arc<CloseSignals>,
 }
 
-/// Tells the task that serves a connection to end it.
+/// How the task that serves a connection is to end it.
 #[derive(Default)]
 struct CloseSignals {
     /// Close once the message in progress has been answered.
@@ -111,7 +111,7 @@
 }
 
 impl ClientConnection {
-    /// When the time to send a whole message is over. A connection is never cut while its invocation is open,
+    /// When the time limit for sending a whole message ends. A connection is never cut while its invocation is open,
     /// nor between two messages once it has sent one.
     fn read_deadline(&self) -> Tenths {
         let Some(idle_since) = self.idle_since else { return Tenths::NEVER };
@@ -267,7 +267,7 @@
             }
         }
         // Connections that the kernel has queued are accepted with direct system calls, because the runtime
-        // may not have been told of them yet.
+        // may not have been notified of them yet.
         let listener = listener.into_std().expect("a listener that the runtime registered");
         loop {
             self.wait_for_room().await;
@@ -293,7 +293,7 @@
     }
 
     /// Whether another connection may be accepted. At the limit it asks one connection to end: the oldest
-    /// that has never sent an invocation, because anybody may have opened it, or else the one that has been
+    /// that has never sent an invocation, because any process may have opened it, or else the one that has been
     /// idle longest. The connections in the accept queue may have sent their invocations already.
     fn try_make_room(&self) -> bool {
         let mut connections = self.connections();
--- a/crates/stagepond-sidecar/src/leadership.rs
+++ b/crates/stagepond-sidecar/src/leadership.rs
@@ -21,7 +21,7 @@
 use crate::operators::{KeyRing, LeadershipConfig};
 
 /// A leadership event to be logged. Each variant has its own `event` value in the log, and its fields have
-/// the names of the log's keys. `why` is a reason in words, `decree` a command of the replicated log in its
+/// the names of the log's keys. `why` is a reason as text, `decree` a command of the replicated log in its
 /// `Debug` form, and `holder` the seat of the leader that proposed the command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeadershipEvent {
@@ -74,7 +74,7 @@
 pub struct StepOutcome {
     /// Effects to be performed, in order.
     pub effects: Vec<Effect>,
-    /// The voters and whether this sidecar leads, if either changed; the decision module must be told.
+    /// The voters and whether this sidecar leads, if either changed; the decision module must be notified.
     pub leadership_change: Option<(Vec<Peer>, bool)>,
     /// The allowed share may have changed: the decision module must be given the current rollout status
     /// again.
--- a/crates/stagepond-sidecar/src/leadership_tests.rs
+++ b/crates/stagepond-sidecar/src/leadership_tests.rs
@@ -185,7 +185,7 @@
     assert!(cluster.votes.iter().any(|(.., verdict)| *verdict == Verdict::On));
 }
 
-/// An instance with another key is heard by nobody. The log has to say why, but not once per datagram.
+/// Datagrams of an instance with another key are dropped by all others. The log has to say why, but not once per datagram.
 #[rstest]
 fn datagrams_sealed_with_an_unknown_key_are_dropped_and_reported_once_per_interval() {
     let (mut cluster, leader) = Cluster::with_leader();
--- a/crates/stagepond-sidecar/src/lifecycle.rs
+++ b/crates/stagepond-sidecar/src/lifecycle.rs
@@ -29,7 +29,7 @@
 }
 
 impl ConfigRetry {
-    /// Begins anew with the first read after a signal.
+    /// Restarts with the first read after a signal.
     pub fn start(&mut self) {
         self.reads_left = MAX_CONFIG_READS;
         self.retry_at = None;
@@ -66,7 +66,7 @@
     Starting,
     /// Invocations are accepted and dispatched.
     Ready,
-    /// Told to shut down: idle connections are closed; new ones are accepted, for one invocation each.
+    /// Shutdown was requested: idle connections are closed; new ones are accepted, for one invocation each.
     Leaving,
     /// The listener is closed; invocations that were accepted are still answered.
     Draining,
@@ -81,7 +81,7 @@
     entered_at: Tenths,
     /// When an invocation was last unanswered, or the state was entered.
     last_busy_at: Tenths,
-    /// The listener has been told to close.
+    /// The listener has been asked to close.
     listener_closing: bool,
     /// [`FRESH_LIST_TIMEOUT`] has passed.
     list_timed_out: bool,
--- a/crates/stagepond-sidecar/src/messages.rs
+++ b/crates/stagepond-sidecar/src/messages.rs
@@ -250,7 +250,7 @@
         request: Arc<ForwardedRequest>,
         /// Address of the pod.
         to: SocketAddr,
-        /// Time limit that the pod is told. The reducer ends the dispatch itself when it has passed.
+        /// Time limit that is sent to the pod. The reducer ends the dispatch itself when it has passed.
         timeout: Tenths,
     },
     /// Close the dispatch's connection; its outcome is no longer wanted.
--- a/crates/stagepond-sidecar/src/operators.rs
+++ b/crates/stagepond-sidecar/src/operators.rs
@@ -150,7 +150,7 @@
     pub tuf: Option<TufConfig>,
 }
 
-/// Reads a key file. Only its owner may have access: whoever can read the key can forge datagrams of any
+/// Reads a key file. Only its owner may have access: anyone who can read the key can forge datagrams of any
 /// instance.
 fn read_key(field: &str, number: u8, file: &Path, directory: &Path) -> Result<Key> {
     let path = directory.join(file);
--- a/crates/stagepond-sidecar/src/platform.rs
+++ b/crates/stagepond-sidecar/src/platform.rs
@@ -174,7 +174,7 @@
     }
 }
 
-/// Sends a vote and returns the platform's answer. [`Ending::TimedOut`] stands for every result after which
+/// Sends a vote and returns the platform's answer. [`Ending::TimedOut`] is reported for every result after which
 /// it is unknown whether the vote counted.
 async fn cast_vote(address: SocketAddr, vote: &VoteRequest, clock: Clock) -> Result<RolloutStatus, Ending> {
     let verdict = match vote.verdict {
--- a/crates/stagepond-sidecar/src/pods.rs
+++ b/crates/stagepond-sidecar/src/pods.rs
@@ -40,7 +40,7 @@
 /// Number of dispatches on new connections between two on reused ones while that share is too high.
 const REUSE_PROBE_INTERVAL: u32 = 12;
 /// Largest accepted number of invocations in progress in a load report. No machine can have more, so a report
-/// with more is garbled.
+/// with more is invalid.
 const MAX_REPORTED_IN_FLIGHT: f64 = 10_000.0;
 /// Share of the configured idle time after which a connection is closed. A pod may close one that was idle
 /// for the whole time, and a request written at that moment would be reset.
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -313,7 +313,7 @@
         reducer.host.effects.push(Effect::EnterState(State::Starting));
         reducer.balancer.start(&mut reducer.host);
         if reducer.leadership.is_some() {
-            // Without a leader nobody may vote.
+            // Without a leader no sidecar may vote.
             reducer.balancer.on_leadership(&mut reducer.host, Vec::new(), false);
         }
         reducer.on_pod_list(known_pods);
@@ -710,7 +710,7 @@
     }
 
     /// Handles a rollout status from the platform: an event of its stream or, if `answers_vote`, its answer
-    /// to a vote. Leadership, if it is on, may reduce the share that the module is told.
+    /// to a vote. Leadership, if it is on, may reduce the share that the module receives.
     fn on_rollout_status(&mut self, result: Result<RolloutStatus, Ending>, answers_vote: bool) {
         let result = match (result, &mut self.leadership) {
             (Ok(status), Some(leadership)) => {
--- a/crates/stagepond-simhost/src/wire.rs
+++ b/crates/stagepond-simhost/src/wire.rs
@@ -316,7 +316,7 @@
             "ABORTED" => balancer.on_abort(host, &fields.inv()?),
             "BELL" => balancer.on_timer(host, fields.parse("token")?),
             // No decision uses probe results or tallies (`DIGEST`): their fields are checked, and the module
-            // is only told that time has passed.
+            // is only notified that time has passed.
             "CHECK_RESULT" => {
                 let _: u32 = fields.parse("pod")?;
                 fields.ending("ending")?;
@@ -429,7 +429,7 @@
 /// Reads `input` to its end and answers each batch on `output`.
 ///
 /// # Errors
-/// If a line is malformed, refers to something unknown or stands outside a batch, or if reading or writing
+/// If a line is malformed, refers to something unknown or is outside a batch, or if reading or writing
 /// fails. The error names the line.
 pub fn run(mut input: impl BufRead, mut output: impl Write) -> Result<()> {
     let mut adapter = Adapter::default();
--- a/crates/stagepond-simhost/tests/wire.rs
+++ b/crates/stagepond-simhost/tests/wire.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 
-/// Settings of a sidecar with one operation. `future_key` stands for settings unknown to this version.
+/// Settings of a sidecar with one operation. `future_key` represents settings unknown to this version.
 const SETTINGS: &str = r#"{"bounds":{"cancel":true,"max_attempts":3,"max_retry_after_ms":1000.0,"parallel_tries":false,"peers":true,"retry_after":true},"classes":[{"aim_ms":250.0,"name":"fetch","repeat":"pure","worth":1.0}],"family_info":{"ballot_ttl_ms":6000.0,"caps":[0.1],"counts":"all","exposure_window_ms":3000.0,"flag_share":0.1,"guarded_stages":0,"least_stage_ms":1500.0,"no_return":false,"spare_tries":1.0,"vote_mode":"any","vote_wait_ms":1200.0,"future_key":[1]},"fleet_size":3,"guarantees":{"ask_every_ms":1000.0,"cold_share":0.3,"fall_ms":3000.0,"fall_multiple":3.0,"ramp_time_ms":4000.0},"membership_mode":"automatic","prices":{"cross_zone":0.1},"self_index":0,"skus":["std"],"tenants":[],"worth_by":"work","zone":"a","zones":["a","b"]}"#;
 
 /// Output of the adapter for `input`.
@@ -20,7 +20,7 @@
     child.wait_with_output().unwrap()
 }
 
-/// A batch that starts sidecar 3 and goes on with these lines.
+/// A batch that starts sidecar 3 and continues with these lines.
 fn started_batch(lines: &str) -> String {
     format!("BATCH 1000.25\nSTART 3 -7 {SETTINGS}\n{lines}\nGO\n")
 }
--- a/crates/stagepond-tuf/src/client.rs
+++ b/crates/stagepond-tuf/src/client.rs
@@ -90,13 +90,13 @@
     /// The version is lower than the floor in [`VersionFloors`].
     #[error("{role}: version {} is below the configured minimum version {}", .found.0, .floor.0)]
     BelowVersionFloor { role: String, floor: Version, found: Version },
-    /// The caller passed a file, or the news that one is missing, while no request was open.
+    /// The caller passed a file, or reported one as missing, while no request was open.
     #[error("no file was requested")]
     NotRequested,
 }
 
 impl MetadataError {
-    /// The failed check as one word, for logs, counters and exit codes.
+    /// A short name of the failed check, for logs, counters and exit codes.
     pub fn kind(&self) -> &'static str {
         match self {
             MetadataError::Malformed { .. } => "unreadable",
@@ -171,7 +171,7 @@
     },
 }
 
-/// A role to visit in a search, and the role that delegates to it. The top-level role stands for its own
+/// A role to visit in a search, and the role that delegates to it. The top-level role is its own
 /// parent.
 #[derive(Clone, Debug)]
 struct RoleVisit {
@@ -350,7 +350,7 @@
         }
     }
 
-    /// Tells the client that the requested file does not exist. A missing next root ends the root updates
+    /// Informs the client that the requested file does not exist. A missing next root ends the root updates
     /// (section 5.3.3); any other missing file ends the workflow.
     ///
     /// # Errors
@@ -710,7 +710,7 @@
         Err(MetadataError::TargetNotFound(search.path))
     }
 
-    /// Checks the targets metadata of a delegated role by the keys that its parent lists, then goes on with
+    /// Checks the targets metadata of a delegated role by the keys that its parent lists, then continues with
     /// the search.
     fn on_delegated_targets(
         &mut self, path: String, role: RoleName, parent: &RoleName, bytes: &[u8],
--- a/crates/stagepond-tuf/src/keys.rs
+++ b/crates/stagepond-tuf/src/keys.rs
@@ -91,7 +91,7 @@
     for signature in signatures {
         let listed = role.keyids.contains(&signature.keyid) || planted.has(Fault::AnyRole);
         let Some(key) = keys.get(&signature.keyid).filter(|_| listed) else { continue };
-        // A key ID that doesn't belong to its key could stand for a different key in another file.
+        // A key ID that doesn't belong to its key could refer to a different key in another file.
         if key_id(key).as_ref() != Some(&signature.keyid) {
             continue;
         }
--- a/crates/stagepond-tuf/src/uptane.rs
+++ b/crates/stagepond-tuf/src/uptane.rs
@@ -85,7 +85,7 @@
 }
 
 impl UptaneError {
-    /// The failed check as one word, for logs, counters and exit codes.
+    /// A short name of the failed check, for logs, counters and exit codes.
     pub fn kind(&self) -> &'static str {
         match self {
             UptaneError::Metadata { reason, .. } => reason.kind(),
@@ -248,7 +248,7 @@
         self.advance(outcome)
     }
 
-    /// Tells that the requested file does not exist.
+    /// Reports that the requested file does not exist.
     ///
     /// # Errors
     /// As for [`FullVerifier::on_file`].
@@ -261,7 +261,7 @@
         self.advance(outcome)
     }
 
-    /// Takes the outcome of one client step and goes on to the next phase if it is complete.
+    /// Takes the outcome of one client step and continues with the next phase if it is complete.
     fn advance(
         &mut self, mut outcome: Result<Progress, MetadataError>,
     ) -> Result<UptaneProgress, UptaneError> {
--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -669,7 +669,7 @@
         let Some(nth) = invocation.dispatches.iter().position(|d| !d.ended) else { return };
         let within_limits =
             invocation.dispatches.len() < self.facts.max_dispatches && self.replacement_tokens >= 1.0;
-        // While many answers are late, a pod that looks stuck has a queue, and goes on executing what is
+        // While many answers are late, a pod that looks stuck has a queue, and continues to execute what is
         // cancelled.
         let stuck =
             self.late_share.near < MAX_LATE_SHARE / 2.0 && self.is_stuck(invocation.dispatches[nth].pod);
@@ -1024,8 +1024,8 @@
         let p0 = self.failure_baselines[op.0].share.clamp(MIN_FAILURE_SHARE, MAX_FAILURE_SHARE);
         let error_evidence =
             if excused || cancelled { 0.0 } else { log_likelihood_ratio(failed, p0, p0 + FAILURE_INCREASE) };
-        // A slow build cannot be told from a slow period if the earlier build has not answered recently, has
-        // hardly any load left, or the fleet is near its limit.
+        // A slow build cannot be distinguished from a slow period if the earlier build has not answered
+        // recently, has hardly any load left, or the fleet is near its limit.
         let baseline = &self.latency_baselines[self.baseline_index(pod, op)];
         let comparable = self.cap() < 1.0
             && self.late_share.near < MAX_LATE_SHARE / 2.0
@@ -1085,13 +1085,13 @@
 
     /// Adds the pending evidence to the totals, which stay within bounds: a build that turns bad late must
     /// not first use up the credit of a good start. The evidence of one round is summed before the bounds
-    /// apply; one bit at a time, the lower bound would keep the bad and drop the good.
+    /// apply; if they applied to each bit, the lower bound would drop evidence for the build but keep evidence
+    /// against it.
     fn update_totals(&mut self) {
         let mut pending = std::mem::take(&mut self.pending_evidence);
         pending[FLEET_TEST] = self.filter_slow_period(pending[FLEET_TEST] / self.facts.sidecar_count as f64);
         for (test, evidence) in pending.into_iter().enumerate() {
-            // Objections are late and few, and a slow fleet is a matter of the moment: neither test gathers
-            // credit.
+            // Objections are late and few, and a slow period of the fleet is short: neither test gathers credit.
             let credit = -MAX_CREDIT_FACTOR * advance_threshold();
             let min = [credit, credit, -BAND_HALF_WIDTH, 0.0][test];
             self.totals[test] =
@@ -1108,7 +1108,7 @@
         if self.fleet_slowness < FLEET_HEALTHY_BELOW {
             self.fleet_healthy_at = self.now;
         }
-        // If the fleet was healthy until the first pods of the stage came, which are still cold, something
+        // If the fleet was healthy until the first pods of the stage started, which are still cold, something
         // else slowed it.
         let detectable_since = self.now - SLOW_PERIOD_DETECTION_TIME;
         let had_time_to_slow = |r: ReleaseState| {
@@ -1275,7 +1275,7 @@
         self.spill_share = (self.spill_share + SPILL_GAIN_PER_SEC * gain * dt).clamp(0.0, MAX_SPILL_SHARE);
         self.late_share.far *= 1.0 - FAR_LATE_SHARE_DECAY_PER_SEC * dt;
         self.update_pod_lateness(dt);
-        // A pod goes on executing what was given up for about as long as an answer takes now: the estimate
+        // A pod continues to execute what was given up for about as long as an answer takes now: the estimate
         // decays with a time constant of twice the longest mean answer time.
         let longest_mean_ms =
             self.latency_baselines.iter().map(|b| b.mean_ms).fold(MIN_ABANDONED_MEAN_MS, f64::max);
--- a/crates/stagepond/src/host.rs
+++ b/crates/stagepond/src/host.rs
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct InvId(pub SmolStr);
 
-/// Identifier of a pod. A later process may reuse it; start time and build tell the two apart.
+/// Identifier of a pod. A later process may reuse it; start time and build distinguish the two.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PodId(pub u32);
 
--- a/crates/stagepond/src/state.rs
+++ b/crates/stagepond/src/state.rs
@@ -271,11 +271,12 @@
 pub const LATENCY_TEST: usize = 1;
 /// Clients report more wrong answers.
 pub const WRONG_ANSWER_TEST: usize = 2;
-/// The whole fleet is slower than before the build came.
+/// The whole fleet is slower than before the trial of the build.
 pub const FLEET_TEST: usize = 3;
 
 /// Cumulative evidence of one sidecar on the build under judgement. The counts only grow, so a later message
-/// makes up for a lost one; `session` tells a restarted sender from one whose counts went on.
+/// makes up for a lost one; `session` distinguishes a restarted sender from one whose counts
+/// continue.
 #[derive(Clone, Copy, Default)]
 pub struct EvidenceCounts {
     /// Random number drawn at the start of the sender.
@@ -577,7 +578,7 @@
     /// Answers since the fleet was last evaluated; those slower than before the trial are counted.
     pub(crate) fleet_sample: AnswerSample,
     pub(crate) fleet_sampled_at: Tenths,
-    /// Share of slow answers before the build came.
+    /// Share of slow answers before the trial of the build.
     pub(crate) slow_share_before: f64,
     /// Number of samples in `slow_share_before`.
     pub(crate) samples_before: f64,
--- a/crates/stagepond/tests/balancer.rs
+++ b/crates/stagepond/tests/balancer.rs
@@ -351,7 +351,7 @@
 }
 
 /// A sidecar with little traffic took seconds to gather eight answers, and then lowered its limit by 7% only,
-/// so that for ten seconds it sent dispatches whose answers came late.
+/// so that for ten seconds it sent dispatches whose answers were late.
 #[rstest]
 fn a_sidecar_with_little_traffic_adjusts_its_limit_within_seconds() {
     let mut sidecar = sidecar_without_trial(test_facts());
@@ -376,8 +376,8 @@
     assert!(run_seconds(&mut sidecar, 2, 1000, 900, Ending::Succeeded) >= 5);
 }
 
-/// Clients waited for 150 and 250 ms while an answer took 670 ms, so that pods executed three of four
-/// dispatches in vain.
+/// Clients waited for 150 and 250 ms while an answer took 670 ms, so that three of four dispatches
+/// were executed after their clients had left.
 #[rstest]
 fn clients_that_wait_for_less_than_answers_take_are_throttled_first() {
     let mut sidecar = sidecar_without_trial(test_facts());
@@ -799,7 +799,7 @@
     assert_eq!(votes.contains(&(2, 1, Verdict::Back)), rolled_back, "{votes:?}");
 }
 
-/// A dependency that all pods share became slow as the first pods of the last stage came, which were still
+/// A dependency that all pods share became slow as the first pods of the last stage started, which were still
 /// cold. The build had had a good part of the traffic before, without harm, yet it was rolled back.
 #[rstest]
 #[case::while_its_pods_are_cold(1, false)]
--- a/examples/mock_server.rs
+++ b/examples/mock_server.rs
@@ -1,6 +1,6 @@
 //! Scripted mock server, used for pods, discovery and the platform.
 //!
-//! It hands each request to the caller and writes only what the caller tells it to. It never responds by
+//! It hands each request to the caller and writes only what the caller asks for. It never responds by
 //! itself, so that a test controls the order of events. The examples, the tests of the sidecar program and the
 //! tests with several sidecar processes share it.
 
@@ -17,7 +17,7 @@
 /// How long a test waits for an event before it fails.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What a connection's task is told to do.
+/// A command to a connection's task.
 enum WriteCommand {
     Bytes(Vec<u8>),
     /// Confirm that everything before this command was written.
