--- a/crates/stagepond-lab/src/leadership/processes.rs
+++ b/crates/stagepond-lab/src/leadership/processes.rs
@@ -239,7 +239,7 @@
     }
 
     /// Waits for the first record, from the position `from` on, that `matches`. Returns its position too.
-    /// `what` names the event in the error on a time-out.
+    /// `what` names the event in the error on a timeout.
     async fn wait_for(
         &self, from: usize, what: &str, matches: impl Fn(&LogRecord) -> bool,
     ) -> Result<(usize, LogRecord)> {
--- a/crates/stagepond-lab/src/leadership/simulation.rs
+++ b/crates/stagepond-lab/src/leadership/simulation.rs
@@ -340,7 +340,7 @@
         }
         let term = |node: &Node| node.instance.as_ref().map_or(0, |i| i.raft().term().number_in_era());
         let terms = self.nodes.iter().map(term).max().unwrap_or(0);
-        // A few elections may fail by chance; a new term at every time-out is a fault.
+        // A few elections may fail by chance; a new term at every timeout is a fault.
         let allowed = 8 + 2 * self.invariants.leaders + self.faults_injected;
         if terms > allowed {
             self.invariants.violations.push(Violation::TermsRanAway { terms, allowed });
--- a/crates/stagepond-lab/src/tuf/measure.rs
+++ b/crates/stagepond-lab/src/tuf/measure.rs
@@ -12,7 +12,7 @@
 
 /// Rounds of each measurement.
 const ROUNDS: usize = 7;
-/// Look-ups in one round.
+/// Lookups in one round.
 const LOOKUPS: usize = 100_000;
 /// Signatures verified in one round.
 const SIGNATURES: usize = 2000;
@@ -26,7 +26,7 @@
     results[ROUNDS / 2]
 }
 
-/// Memory and look-up time of the packed index and of a hash map with the same entries.
+/// Memory and lookup time of the packed index and of a hash map with the same entries.
 #[derive(Clone, Debug)]
 pub struct IndexComparison {
     /// Number of entries.
@@ -35,9 +35,9 @@
     pub index_bytes: f64,
     /// Bytes per entry of the hash map, computed from its capacity and its keys.
     pub map_bytes: f64,
-    /// Microseconds per look-up in the index.
+    /// Microseconds per lookup in the index.
     pub index_lookup_us: f64,
-    /// Microseconds per look-up in the hash map.
+    /// Microseconds per lookup in the hash map.
     pub map_lookup_us: f64,
 }
 
--- a/crates/stagepond-leadership/src/ids.rs
+++ b/crates/stagepond-leadership/src/ids.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 pub use stagepond::host::Tenths;
 
-/// Index of an instance within the tier. It stays the same across restarts.
+/// Index of an instance within the group. It stays the same across restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Seat(pub u16);
 
--- a/crates/stagepond-leadership/src/lease.rs
+++ b/crates/stagepond-leadership/src/lease.rs
@@ -1,4 +1,4 @@
-//! The leader's time-limited permission to act for the whole tier.
+//! The leader's time-limited permission to act for the whole group.
 //!
 //! A lease can only be created inside this crate. Its user must call [`LeaderLease::check`] again as the last
 //! step before the write that the lease permits.
--- a/crates/stagepond-leadership/src/lib.rs
+++ b/crates/stagepond-leadership/src/lib.rs
@@ -1,4 +1,4 @@
-//! Leader election, cluster membership and a replicated log for the instances of the tier.
+//! Leader election, cluster membership and a replicated log for the instances of the group.
 //!
 //! The crate does no I/O: inputs and the current time go in, effects come out. It uses no sockets, files,
 //! clocks, threads, global state or iteration in hash order, so equal inputs give equal effects.
--- a/crates/stagepond-leadership/src/members.rs
+++ b/crates/stagepond-leadership/src/members.rs
@@ -92,7 +92,7 @@
 /// Lifeguard's local health multiplier: each step adds one base timeout to the timeouts of probes.
 pub struct Members {
     /// The state of this instance.
-    me: MemberState,
+    own_state: MemberState,
     settings: Settings,
     rng: fastrand::Rng,
     /// The other members by seat; `None` if nothing is known.
@@ -122,7 +122,7 @@
     ) -> Members {
         // Memory(0) denotes a memory that was created with the process.
         let memory = if memory.0 == life.0 { Memory(0) } else { memory };
-        let me = MemberState {
+        let own_state = MemberState {
             seat,
             life,
             incarnation: 0,
@@ -133,7 +133,7 @@
         let mut rng = fastrand::Rng::with_seed(seed ^ SEED_MASK);
         let first_probe_at = now + Tenths((rng.f64() * settings.probe_interval.0 as f64) as i64);
         Members {
-            me,
+            own_state,
             members: vec![None; usize::from(settings.seats)],
             settings: settings.clone(),
             rng,
@@ -153,7 +153,7 @@
 
     /// The life of this process.
     pub fn life(&self) -> Life {
-        self.me.life
+        self.own_state.life
     }
 
     fn member(&self, seat: Seat) -> Option<&Member> {
@@ -162,8 +162,8 @@
 
     /// The state of the member at a seat, this instance included; `None` if nothing is known.
     pub fn state(&self, seat: Seat) -> Option<MemberState> {
-        if seat == self.me.seat {
-            return Some(self.me);
+        if seat == self.own_state.seat {
+            return Some(self.own_state);
         }
         self.member(seat).map(|member| member.state)
     }
@@ -189,25 +189,25 @@
     /// How many members have this health, this instance included.
     pub fn count(&self, health: Health) -> usize {
         let others = self.members.iter().flatten().filter(|member| member.state.health == health).count();
-        others + usize::from(self.me.health == health)
+        others + usize::from(self.own_state.health == health)
     }
 
     /// A random other member that is alive. Gives up after a few draws, also if there are such members.
     pub fn random_alive_seat(&mut self) -> Option<Seat> {
         (0..RANDOM_SEAT_ATTEMPTS).find_map(|_| {
             let seat = Seat(self.rng.u16(0..self.settings.seats));
-            (seat != self.me.seat && self.is_alive(seat)).then_some(seat)
+            (seat != self.own_state.seat && self.is_alive(seat)).then_some(seat)
         })
     }
 
     /// Raises the life of this process, because others know a higher one from an earlier process at this
     /// seat.
     pub fn set_own_life(&mut self, life: Life) {
-        if self.me.memory == Some(Memory(0)) {
-            self.me.memory = Some(Memory(self.me.life.0));
+        if self.own_state.memory == Some(Memory(0)) {
+            self.own_state.memory = Some(Memory(self.own_state.life.0));
         }
-        self.me.life = life;
-        self.queue_broadcast(self.me.seat);
+        self.own_state.life = life;
+        self.queue_broadcast(self.own_state.seat);
     }
 
     /// The binary logarithm of the number of instances, rounded up and at least 1.
@@ -350,7 +350,7 @@
         }
         if now >= probe.deadline {
             self.raise_slowness(1);
-            self.suspect(now, probe.seat, self.me.seat);
+            self.suspect(now, probe.seat, self.own_state.seat);
         } else {
             self.probe = Some(probe);
         }
@@ -387,7 +387,7 @@
             let Some(seat) = self.round.pop_front() else { return };
             let health = self.members[usize::from(seat.0)].as_ref().map(|member| member.state.health);
             let gone = matches!(health, Some(Health::Dead | Health::Left));
-            if seat == self.me.seat || (gone && !may_probe_dead && !alone) {
+            if seat == self.own_state.seat || (gone && !may_probe_dead && !alone) {
                 continue;
             }
             let nonce = self.next_nonce();
@@ -420,7 +420,8 @@
         &mut self, now: Tenths, from: Seat, origin_nonce: u32, target: Seat, committed: (Term, Number),
         outbox: &mut Vec<(Seat, Message)>,
     ) {
-        if target == self.me.seat || target.0 >= self.settings.seats || self.relays.len() >= MAX_RELAYS {
+        if target == self.own_state.seat || target.0 >= self.settings.seats || self.relays.len() >= MAX_RELAYS
+        {
             return;
         }
         let nonce = self.next_nonce();
@@ -485,7 +486,7 @@
         if state.seat.0 >= self.settings.seats {
             return;
         }
-        if state.seat == self.me.seat {
+        if state.seat == self.own_state.seat {
             return self.refute(state);
         }
         let confirms = state.health == Health::Suspect
@@ -500,11 +501,11 @@
 
     /// Another member reports this process as suspected or dead: raises the incarnation to refute that.
     fn refute(&mut self, state: MemberState) {
-        let about_this_process = state.life == self.me.life && state.health != Health::Alive;
-        if about_this_process && !self.leaving && state.incarnation >= self.me.incarnation {
-            self.me.incarnation = state.incarnation + 1;
+        let about_this_process = state.life == self.own_state.life && state.health != Health::Alive;
+        if about_this_process && !self.leaving && state.incarnation >= self.own_state.incarnation {
+            self.own_state.incarnation = state.incarnation + 1;
             self.raise_slowness(1);
-            self.queue_broadcast(self.me.seat);
+            self.queue_broadcast(self.own_state.seat);
         }
     }
 
@@ -518,7 +519,7 @@
     /// Takes over the state of another member if it supersedes what is known, and passes it on.
     fn apply(&mut self, now: Tenths, mut state: MemberState) {
         let seat = state.seat;
-        if seat == self.me.seat {
+        if seat == self.own_state.seat {
             return;
         }
         let known = self.members[usize::from(seat.0)].as_ref().map(|member| (member.state, member.since));
@@ -554,8 +555,8 @@
     /// Announces that this instance leaves, at once to a few members, which pass it on.
     pub fn leave(&mut self, committed: (Term, Number), outbox: &mut Vec<(Seat, Message)>) {
         self.leaving = true;
-        self.me.health = Health::Left;
-        self.queue_broadcast(self.me.seat);
+        self.own_state.health = Health::Left;
+        self.queue_broadcast(self.own_state.seat);
         for _ in 0..INDIRECT_PROBES {
             if let Some(seat) = self.random_alive_seat() {
                 let nonce = self.next_nonce();
--- a/crates/stagepond-leadership/src/raft.rs
+++ b/crates/stagepond-leadership/src/raft.rs
@@ -275,7 +275,7 @@
 }
 
 /// Hashes everything that influences later steps except the random generator, so that a model checker can
-/// recognize equal states.
+/// recognise equal states.
 impl std::hash::Hash for RaftNode {
     fn hash<H: std::hash::Hasher>(&self, state: &mut H) {
         (&self.persistent, &self.role, &self.leader, &self.bootstrap, &self.catch_up).hash(state);
@@ -700,7 +700,7 @@
         transfer_term: Option<Term>,
     ) {
         let candidate = Voter { seat: from, memory };
-        // The leader that this voter holds for has given up its lease in favor of the candidate.
+        // The leader that this voter holds for has given up its lease in favour of the candidate.
         let released = transfer_term.is_some() && transfer_term == Some(self.persistent.term);
         let free =
             (now >= self.hold_until && !self.is_leader()) || released || self.planted.has(Fault::HoldIgnored);
--- a/crates/stagepond-leadership/src/seal.rs
+++ b/crates/stagepond-leadership/src/seal.rs
@@ -167,7 +167,7 @@
 
 /// Seals the datagrams that one process sends, and opens those that it receives.
 pub struct Sealer {
-    me: Seat,
+    own_seat: Seat,
     life: Life,
     keys: KeySet,
     /// The counter of the last datagram sent.
@@ -183,10 +183,10 @@
 }
 
 impl Sealer {
-    /// A sealer for the process `life` at the seat `me` of a tier with so many seats.
-    pub fn new(me: Seat, life: Life, seats: u16, keys: KeySet) -> Sealer {
+    /// A sealer for the process `life` at the seat `own_seat` of a group with `seats` seats.
+    pub fn new(own_seat: Seat, life: Life, seats: u16, keys: KeySet) -> Sealer {
         let peers = vec![Peer::default(); usize::from(seats)];
-        Sealer { me, life, keys, sent: 0, peers, dropped: Default::default() }
+        Sealer { own_seat, life, keys, sent: 0, peers, dropped: Default::default() }
     }
 
     /// The keys, to rotate or accept others.
@@ -217,7 +217,7 @@
         self.sent += 1;
         let mut bytes = Vec::with_capacity(SEAL_BYTES + body.len());
         bytes.extend([FORMAT_BYTE, self.keys.sealing.number, 0, 0]);
-        bytes.extend(self.me.0.to_le_bytes());
+        bytes.extend(self.own_seat.0.to_le_bytes());
         bytes.extend(to.0.to_le_bytes());
         bytes.extend(self.life.0.to_le_bytes());
         bytes.extend(self.peer_life(to).0.to_le_bytes());
@@ -258,7 +258,11 @@
         let life = Life(u64::from_le_bytes(bytes_at(bytes, 8)));
         let to_life = Life(u64::from_le_bytes(bytes_at(bytes, 16)));
         let counter = u64::from_le_bytes(bytes_at(bytes, 24));
-        if to != self.me || from == self.me || usize::from(from.0) >= self.peers.len() || life == Life(0) {
+        if to != self.own_seat
+            || from == self.own_seat
+            || usize::from(from.0) >= self.peers.len()
+            || life == Life(0)
+        {
             return Err(DropReason::WrongSeat);
         }
         let key = self.keys.find(now, bytes[1]).ok_or(DropReason::UnknownKey)?;
--- a/crates/stagepond-leadership/src/settings.rs
+++ b/crates/stagepond-leadership/src/settings.rs
@@ -7,7 +7,7 @@
 /// The settings of an instance. All but `seats` and `durable` have a key of their own in the operators' file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of instances of the tier. Their seats are 0 to `seats` - 1.
+    /// Number of instances of the group. Their seats are 0 to `seats` - 1.
     pub seats: u16,
     /// Seats from which voters are chosen, in ascending order. A bootstrap needs the promise of each.
     pub pool: Vec<Seat>,
@@ -50,13 +50,13 @@
     pub reason: String,
 }
 
-/// Most voters of a tier.
+/// Most voters of a group.
 pub const MAX_VOTERS: usize = 7;
 /// Most seats in the pool.
 pub const MAX_POOL_SEATS: usize = 15;
 
 impl Settings {
-    /// Default settings for a tier of this size on a local network.
+    /// Default settings for a group of this size on a local network.
     pub fn default_for(seats: u16) -> Settings {
         let voter_count = [7, 5, 3, 1].into_iter().find(|v| *v <= 3 && *v <= usize::from(seats)).unwrap_or(1);
         Settings {
@@ -81,7 +81,7 @@
     pub fn validate(self) -> Result<Settings, InvalidSetting> {
         let invalid = |field, reason: String| Err(InvalidSetting { field, reason });
         if self.seats == 0 {
-            return invalid("seats", "the tier needs at least one instance".into());
+            return invalid("seats", "the group needs at least one instance".into());
         }
         if ![1, 3, 5, 7].contains(&self.voter_count) {
             return invalid("voters", format!("{} is not 1, 3, 5 or 7", self.voter_count));
@@ -92,7 +92,7 @@
             return invalid("pool", reason);
         }
         if let Some(seat) = self.pool.iter().find(|s| s.0 >= self.seats) {
-            let reason = format!("seat {} does not exist, the tier has {} instances", seat.0, self.seats);
+            let reason = format!("seat {} does not exist, the group has {} instances", seat.0, self.seats);
             return invalid("pool", reason);
         }
         if self.pool.windows(2).any(|two| two[0] >= two[1]) {
--- a/crates/stagepond-sidecar/src/reducer.rs
+++ b/crates/stagepond-sidecar/src/reducer.rs
@@ -646,7 +646,7 @@
             let Some(OpenDispatch { inv, nth, started_at, .. }) = self.host.remove_dispatch(id) else {
                 break;
             };
-            // The connection is closed before the module learns of the time-out, and so before it dispatches
+            // The connection is closed before the module learns of the timeout, and so before it dispatches
             // again.
             self.host.effects.push(Effect::AbortDispatch(id));
             self.report_outcome(&inv, nth, deadline - started_at, Ending::TimedOut, None);
--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -202,13 +202,13 @@
 const COLD_RATE_SHARE: f64 = 0.6;
 /// A cold pod takes a dispatch once its level is below what it drains in this time, in seconds.
 const COLD_DRAIN_SECS: f64 = 0.3;
-/// After a time-out or a repeated connection failure a pod is avoided for this time, doubled for each of its
+/// After a timeout or a repeated connection failure a pod is avoided for this time, doubled for each of its
 /// consecutive failures, which are counted up to `MAX_FAILURES_IN_ROW`.
 const POD_BACKOFF_MS: i64 = 250;
 const MAX_FAILURES_IN_ROW: u32 = 4;
 /// An accepted vote is repeated after this share of the time for which the platform counts it.
 const VOTE_REPEAT_SHARE: f64 = 0.5;
-/// A refused vote is repeated after the vote time-out, doubled for each consecutive refusal up to this
+/// A refused vote is repeated after the vote timeout, doubled for each consecutive refusal up to this
 /// number.
 const MAX_REFUSED_VOTES: u32 = 5;
 /// Outcomes over which a pod's share of errors is averaged.
@@ -382,7 +382,7 @@
     /// The client of `inv` has left, or has its answer already.
     pub fn on_abort(&mut self, host: &mut dyn Host, inv: &InvId) {
         self.update_clock(host);
-        // A client that leaves early was waiting for the pod. The time-out of the dispatch would show only
+        // A client that leaves early was waiting for the pod. The timeout of the dispatch would show only
         // seconds later that the pod is late.
         if let Some(pending) = self.invocations.get(inv).and_then(Invocation::pending_dispatch) {
             let waited = self.now - pending.sent_at;
@@ -975,7 +975,7 @@
             return;
         }
         let trial_affects_fleet = self.release_affecting_fleet().is_some();
-        // Late answers and time-outs belong to the latency test: under load any build has them.
+        // Late answers and timeouts belong to the latency test: under load any build has them.
         let timed_out = ending == Ending::TimedOut;
         let failed = ending == Ending::Error;
         let below_full_cap = self.cap() < 1.0;
@@ -1194,7 +1194,7 @@
             &mut self.late_share.far
         };
         *late_share += (f64::from(late) - *late_share) * LOAD_AVERAGE_STEP;
-        // Time-outs and failed connections at a few pods do not show that the fleet is full.
+        // Timeouts and failed connections at a few pods do not show that the fleet is full.
         let counts = f64::from(matches!(ending, Ending::Succeeded | Ending::Full));
         self.limit_sample.add(counts * f64::from(late), counts);
         let min_sample =
--- a/crates/stagepond/src/state.rs
+++ b/crates/stagepond/src/state.rs
@@ -56,7 +56,7 @@
     pub last_answer: Vec<Tenths>,
     /// End of the backoff after failures.
     pub avoided_until: Vec<Tenths>,
-    /// Consecutive time-outs and connection failures, up to a maximum.
+    /// Consecutive timeouts and connection failures, up to a maximum.
     pub failures_in_row: Vec<u32>,
     /// Start of the warm-up: that of the process, or a later time at which it may have restarted.
     pub cold_since: Vec<Tenths>,
