--- a/crates/stagepond-leadership/src/members.rs
+++ b/crates/stagepond-leadership/src/members.rs
@@ -254,7 +254,7 @@
         Tenths(base.0 * i64::from(self.slowness + 1))
     }
 
-    /// How long a suspicion with so many confirmations lasts before the member counts as dead (Lifeguard's
+    /// How long a suspicion with this many confirmations lasts before the member counts as dead (Lifeguard's
     /// dynamic suspicion timeout).
     fn suspicion_timeout(&self, confirmations: usize) -> Tenths {
         let shortest =
--- a/crates/stagepond-leadership/src/seal.rs
+++ b/crates/stagepond-leadership/src/seal.rs
@@ -158,8 +158,8 @@
     pub from: Seat,
     /// The sender's life.
     pub life: Life,
-    /// Whether it is addressed to this very process. If not, it may be a replay of an old datagram, and only
-    /// `Hello` and `Welcome` may be acted on.
+    /// Whether it is addressed to this process, not to an earlier one at this seat. If not, it may be a replay
+    /// of an old datagram, and only `Hello` and `Welcome` may be acted on.
     pub to_me: bool,
     /// The encoded message.
     pub body: &'a [u8],
--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -41,10 +41,10 @@
 /// Bounds of that share in the error test.
 const MIN_FAILURE_SHARE: f64 = 0.01;
 const MAX_FAILURE_SHARE: f64 = 0.9;
-/// Answer times of a build are not compared with those of the earlier build before it has given so many
-/// answers.
+/// Answer times of a build are compared with those of the earlier build only after the earlier build has given
+/// this many answers.
 const MIN_BASELINE_ANSWERS: u32 = 20;
-/// Outcomes over which that share is averaged.
+/// Outcomes over which the failure share of the earlier build is averaged.
 const FAILURE_WINDOW: f64 = 256.0;
 /// Failure share of a bad build above that of the earlier one (alternative hypothesis of the error test).
 const FAILURE_INCREASE: f64 = 0.05;
@@ -903,7 +903,7 @@
         self.pods.in_flight[pod] >= 2 && self.now - self.pods.last_answer[pod] > max_silence
     }
 
-    /// After so long an answer to this operation is late.
+    /// Time after which an answer to this operation is late.
     fn late_after(&self, op: Op) -> Tenths {
         self.facts.operations[op.0].slo_time.scale(LATE_SHARE_OF_SLO_TIME)
     }
