--- a/crates/stagepond/src/balance.rs
+++ b/crates/stagepond/src/balance.rs
@@ -41,10 +41,10 @@
 /// Bounds of that share in the error test.
 const MIN_FAILURE_SHARE: f64 = 0.01;
 const MAX_FAILURE_SHARE: f64 = 0.9;
-/// Answer times of a build are not compared with those of the earlier build before it has given so many
-/// answers.
+/// Answer times of a build are compared with those of the earlier build only after the earlier build has given
+/// this many answers.
 const MIN_BASELINE_ANSWERS: u32 = 20;
-/// Outcomes over which that share is averaged.
+/// Outcomes over which the failure share of the earlier build is averaged.
 const FAILURE_WINDOW: f64 = 256.0;
 /// Failure share of a bad build above that of the earlier one (alternative hypothesis of the error test).
 const FAILURE_INCREASE: f64 = 0.05;
@@ -202,13 +202,13 @@
 const COLD_RATE_SHARE: f64 = 0.6;
 /// A cold pod takes a dispatch once its level is below what it drains in this time, in seconds.
 const COLD_DRAIN_SECS: f64 = 0.3;
-/// After a time-out or a repeated connection failure a pod is avoided for this time, doubled for each of its
+/// After a timeout or a repeated connection failure a pod is avoided for this time, doubled for each of its
 /// consecutive failures, which are counted up to `MAX_FAILURES_IN_ROW`.
 const POD_BACKOFF_MS: i64 = 250;
 const MAX_FAILURES_IN_ROW: u32 = 4;
 /// An accepted vote is repeated after this share of the time for which the platform counts it.
 const VOTE_REPEAT_SHARE: f64 = 0.5;
-/// A refused vote is repeated after the vote time-out, doubled for each consecutive refusal up to this
+/// A refused vote is repeated after the vote timeout, doubled for each consecutive refusal up to this
 /// number.
 const MAX_REFUSED_VOTES: u32 = 5;
 /// Outcomes over which a pod's share of errors is averaged.
@@ -382,7 +382,7 @@
     /// The client of `inv` has left, or has its answer already.
     pub fn on_abort(&mut self, host: &mut dyn Host, inv: &InvId) {
         self.update_clock(host);
-        // A client that leaves early was waiting for the pod. The time-out of the dispatch would show only
+        // A client that leaves early was waiting for the pod. The timeout of the dispatch would show only
         // seconds later that the pod is late.
         if let Some(pending) = self.invocations.get(inv).and_then(Invocation::pending_dispatch) {
             let waited = self.now - pending.sent_at;
@@ -669,7 +669,7 @@
         let Some(nth) = invocation.dispatches.iter().position(|d| !d.ended) else { return };
         let within_limits =
             invocation.dispatches.len() < self.facts.max_dispatches && self.replacement_tokens >= 1.0;
-        // While many answers are late, a pod that looks stuck has a queue, and goes on executing what is
+        // While many answers are late, a pod that looks stuck has a queue, and continues to execute what is
         // cancelled.
         let stuck =
             self.late_share.near < MAX_LATE_SHARE / 2.0 && self.is_stuck(invocation.dispatches[nth].pod);
@@ -903,7 +903,7 @@
         self.pods.in_flight[pod] >= 2 && self.now - self.pods.last_answer[pod] > max_silence
     }
 
-    /// After so long an answer to this operation is late.
+    /// Time after which an answer to this operation is late.
     fn late_after(&self, op: Op) -> Tenths {
         self.facts.operations[op.0].slo_time.scale(LATE_SHARE_OF_SLO_TIME)
     }
@@ -975,7 +975,7 @@
             return;
         }
         let trial_affects_fleet = self.release_affecting_fleet().is_some();
-        // Late answers and time-outs belong to the latency test: under load any build has them.
+        // Late answers and timeouts belong to the latency test: under load any build has them.
         let timed_out = ending == Ending::TimedOut;
         let failed = ending == Ending::Error;
         let below_full_cap = self.cap() < 1.0;
@@ -1024,8 +1024,8 @@
         let p0 = self.failure_baselines[op.0].share.clamp(MIN_FAILURE_SHARE, MAX_FAILURE_SHARE);
         let error_evidence =
             if excused || cancelled { 0.0 } else { log_likelihood_ratio(failed, p0, p0 + FAILURE_INCREASE) };
-        // A slow build cannot be told from a slow period if the earlier build has not answered recently, has
-        // hardly any load left, or the fleet is near its limit.
+        // A slow build cannot be distinguished from a slow period if the earlier build has not answered
+        // recently, has hardly any load left, or the fleet is near its limit.
         let baseline = &self.latency_baselines[self.baseline_index(pod, op)];
         let comparable = self.cap() < 1.0
             && self.late_share.near < MAX_LATE_SHARE / 2.0
@@ -1085,13 +1085,13 @@
 
     /// Adds the pending evidence to the totals, which stay within bounds: a build that turns bad late must
     /// not first use up the credit of a good start. The evidence of one round is summed before the bounds
-    /// apply; one bit at a time, the lower bound would keep the bad and drop the good.
+    /// apply; if they applied to each bit, the lower bound would drop evidence for the build but keep evidence
+    /// against it.
     fn update_totals(&mut self) {
         let mut pending = std::mem::take(&mut self.pending_evidence);
         pending[FLEET_TEST] = self.filter_slow_period(pending[FLEET_TEST] / self.facts.sidecar_count as f64);
         for (test, evidence) in pending.into_iter().enumerate() {
-            // Objections are late and few, and a slow fleet is a matter of the moment: neither test gathers
-            // credit.
+            // Objections are late and few, and a slow period of the fleet is short: neither test gathers credit.
             let credit = -MAX_CREDIT_FACTOR * advance_threshold();
             let min = [credit, credit, -BAND_HALF_WIDTH, 0.0][test];
             self.totals[test] =
@@ -1108,7 +1108,7 @@
         if self.fleet_slowness < FLEET_HEALTHY_BELOW {
             self.fleet_healthy_at = self.now;
         }
-        // If the fleet was healthy until the first pods of the stage came, which are still cold, something
+        // If the fleet was healthy until the first pods of the stage started, which are still cold, something
         // else slowed it.
         let detectable_since = self.now - SLOW_PERIOD_DETECTION_TIME;
         let had_time_to_slow = |r: ReleaseState| {
@@ -1194,7 +1194,7 @@
             &mut self.late_share.far
         };
         *late_share += (f64::from(late) - *late_share) * LOAD_AVERAGE_STEP;
-        // Time-outs and failed connections at a few pods do not show that the fleet is full.
+        // Timeouts and failed connections at a few pods do not show that the fleet is full.
         let counts = f64::from(matches!(ending, Ending::Succeeded | Ending::Full));
         self.limit_sample.add(counts * f64::from(late), counts);
         let min_sample =
@@ -1275,7 +1275,7 @@
         self.spill_share = (self.spill_share + SPILL_GAIN_PER_SEC * gain * dt).clamp(0.0, MAX_SPILL_SHARE);
         self.late_share.far *= 1.0 - FAR_LATE_SHARE_DECAY_PER_SEC * dt;
         self.update_pod_lateness(dt);
-        // A pod goes on executing what was given up for about as long as an answer takes now: the estimate
+        // A pod continues to execute what was given up for about as long as an answer takes now: the estimate
         // decays with a time constant of twice the longest mean answer time.
         let longest_mean_ms =
             self.latency_baselines.iter().map(|b| b.mean_ms).fold(MIN_ABANDONED_MEAN_MS, f64::max);
