--- a/crates/stagepond-ctl/src/tuf.rs
+++ b/crates/stagepond-ctl/src/tuf.rs
@@ -377,7 +377,7 @@
 }
 
 fn print_table(client: &Client, at: UnixSeconds) {
-    println!("{:<10} {:>8}  {:<21} time left", "role", "version", "expires");
+    println!("{:<10} {:>8}  {:<21} left", "role", "version", "ends");
     for (role, version, expires) in client.trusted_roles() {
         let seconds_left = expires.0 - at.0;
         println!(
